--- a/benchmarks/tree_bench.py
+++ b/benchmarks/tree_bench.py
@@ -21,7 +21,7 @@
 from sesameford.tree import DeclaredTree, difference, parse_tree, parse_tree_in_slices
 from sesameford.tree_changes import TreeChange, TreeMachine, make_tree_change
 from sesameford.tree_changes import encode_command as encode_change
-from sesameford.tree_spread import TreeSpread
+from sesameford.tree_replication import TreeSpread
 from sesameford.tree_text import render_tree
 
 SIZES = (16, 2_200, 22_000)
--- a/sesameford/discovery/roster.py
+++ b/sesameford/discovery/roster.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from sesameford.discovery.greeted_peer import greeted_peer
+from sesameford.discovery.hello_peer import greeted_peer
 from sesameford.messages import Greeting, ReplicaRow
 from sesameford.settings import Peer
 
--- a/sesameford/gateway/admit.py
+++ b/sesameford/gateway/admit.py
@@ -5,16 +5,16 @@
 from aiohttp import web
 
 from sesameford.effective import EffectiveTree, HttpRouteSettings
-from sesameford.gateway.calls import Call, Prompt
-from sesameford.gateway.queue_limit import make_queue_limit
-from sesameford.gateway.route_table import choose_service
-from sesameford.gateway.run import (
+from sesameford.gateway.call_context import (
     RETRY_AFTER_SECONDS,
     GatewayDeps,
     GatewayState,
     Refusal,
     Run,
 )
+from sesameford.gateway.calls import Call, Prompt
+from sesameford.gateway.queue_limit import make_queue_limit
+from sesameford.gateway.route_table import choose_service
 from sesameford.operators_http import digest_of_key
 
 # A customer over its share is asked to come back while its objective can still be met.
--- a/sesameford/gateway/run.py
+++ b/sesameford/gateway/call_context.py
@@ -11,14 +11,14 @@
 from sesameford.event_stream import EventStream
 from sesameford.gateway.calls import Call, Edge
 from sesameford.gateway.forward import Sender
+from sesameford.gateway.gateway_metrics import Tally
 from sesameford.gateway.loop_lag import LoopLag
-from sesameford.gateway.place import Lease
 from sesameford.gateway.placement import Placement
 from sesameford.gateway.queue_limit import QueueLimit
 from sesameford.gateway.route_table import RouteTable, make_route_table
 from sesameford.gateway.second_sends import SecondSends
 from sesameford.gateway.share_gate import ShareGate
-from sesameford.gateway.tally import Tally
+from sesameford.gateway.target_record import Lease
 
 # A caller is asked to come back after so long where nothing better is known: about
 # the time in which a resting target is tried again.
--- a/sesameford/gateway/call_log.py
+++ b/sesameford/gateway/call_log.py
@@ -2,10 +2,10 @@
 
 import logging
 
+from sesameford.gateway.call_context import GatewayDeps, Refusal, Run
 from sesameford.gateway.calls import Call
 from sesameford.gateway.forward import SendingError
-from sesameford.gateway.place import Lease
-from sesameford.gateway.run import GatewayDeps, Refusal, Run
+from sesameford.gateway.target_record import Lease
 
 logger = logging.getLogger(__name__)
 
--- a/sesameford/gateway/candidates.py
+++ b/sesameford/gateway/candidates.py
@@ -9,7 +9,7 @@
 from enum import StrEnum
 from itertools import chain
 
-from sesameford.discovery.beat_table import BeatTable, KnownTarget, short_name
+from sesameford.discovery.heartbeat_table import BeatTable, KnownTarget, short_name
 from sesameford.effective import EffectiveTree
 from sesameford.gateway.cold_targets import make_cold_targets
 from sesameford.tables import TargetState
--- a/sesameford/gateway/cold_targets.py
+++ b/sesameford/gateway/cold_targets.py
@@ -9,7 +9,7 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
-from sesameford.discovery.beat_table import BeatTable, KnownTarget, short_name
+from sesameford.discovery.heartbeat_table import BeatTable, KnownTarget, short_name
 from sesameford.effective import ServiceSettings
 
 # A permit counts for so long from when its router asked, by the router's own clock, so
--- a/sesameford/gateway/early_decision.py
+++ b/sesameford/gateway/early_decision.py
@@ -7,9 +7,9 @@
 
 from sesameford.early_answers import EarlyAnswer
 from sesameford.gateway.admit import Admitted, decide
+from sesameford.gateway.call_context import GatewayDeps, Refusal
 from sesameford.gateway.calls import BadCallError, Call
 from sesameford.gateway.own_answer import refuse
-from sesameford.gateway.run import GatewayDeps, Refusal
 
 
 @dataclass(frozen=True, slots=True)
--- a/sesameford/gateway/engine_choice.py
+++ b/sesameford/gateway/engine_choice.py
@@ -14,10 +14,10 @@
 
 from xxhash import xxh32_intdigest
 
-from sesameford.discovery.beat_table import KnownTarget
+from sesameford.discovery.heartbeat_table import KnownTarget
 from sesameford.effective import ServiceSettings
 from sesameford.gateway.calls import Prompt
-from sesameford.gateway.place import Place
+from sesameford.gateway.target_record import Place
 
 # What each running request adds to the wait for a first event: a batch's step takes
 # some hundredth longer for each request in it.
--- a/sesameford/gateway/node.py
+++ b/sesameford/gateway/gateway_node.py
@@ -17,23 +17,27 @@
 from aiohttp import ClientSession
 
 from sesameford.claims import ClaimsMachine
-from sesameford.discovery.beat_table import KnownTarget, make_beat_table
 from sesameford.discovery.founding_mark import is_founder
+from sesameford.discovery.heartbeat_table import KnownTarget, make_beat_table
 from sesameford.discovery.roster import make_roster
 from sesameford.effective import EffectiveTree
 from sesameford.errors import PeerError
 from sesameford.fencing import FencingMachine
+from sesameford.gateway.call_context import (
+    GatewayDeps,
+    GatewayState,
+    make_gateway_state,
+)
 from sesameford.gateway.calls import Edge
 from sesameford.gateway.cold_permits import make_cold_permits
 from sesameford.gateway.fleet_sums import LiveInstances
 from sesameford.gateway.forward import CONNECT_SECONDS, make_sender
+from sesameford.gateway.gateway_metrics import make_tally
 from sesameford.gateway.load_report import REPORT_SECONDS
 from sesameford.gateway.load_system import make_load_system
 from sesameford.gateway.operator_calls import make_operator_calls
 from sesameford.gateway.placement import make_placement
-from sesameford.gateway.run import GatewayDeps, GatewayState, make_gateway_state
 from sesameford.gateway.second_sends import make_second_sends
-from sesameford.gateway.tally import make_tally
 from sesameford.http_ports import make_session
 from sesameford.link_key import load_link_key
 from sesameford.load_messages import FleetLoad, PartialLoad, RouterLoad, RouterLoadEnds
--- a/sesameford/gateway/load_system.py
+++ b/sesameford/gateway/load_system.py
@@ -5,6 +5,7 @@
 from random import Random
 
 from sesameford.gateway.aggregator_choice import make_aggregator_choice
+from sesameford.gateway.call_context import GatewayState
 from sesameford.gateway.cold_permits import ColdPermits
 from sesameford.gateway.fleet_sums import (
     ALL_WARM,
@@ -21,7 +22,6 @@
 )
 from sesameford.gateway.loop_lag import make_loop_lag
 from sesameford.gateway.placement import Placement
-from sesameford.gateway.run import GatewayState
 from sesameford.gateway.share_gate import make_share_gate
 from sesameford.gateway.shares import ShareTable, make_share_table
 from sesameford.load_messages import FleetLoad, PartialLoad, RouterLoad, RouterLoadEnds
--- a/sesameford/gateway/own_answer.py
+++ b/sesameford/gateway/own_answer.py
@@ -7,9 +7,9 @@
 from aiohttp import web
 
 from sesameford.early_answers import EarlyAnswer
+from sesameford.gateway.call_context import GatewayDeps, Refusal, Run
 from sesameford.gateway.call_log import log_refusal
 from sesameford.gateway.calls import Call
-from sesameford.gateway.run import GatewayDeps, Refusal, Run
 
 
 @dataclass(frozen=True, slots=True)
--- a/sesameford/gateway/placement.py
+++ b/sesameford/gateway/placement.py
@@ -5,7 +5,7 @@
 from functools import partial
 from random import Random
 
-from sesameford.discovery.beat_table import BeatTable, KnownTarget, short_name
+from sesameford.discovery.heartbeat_table import BeatTable, KnownTarget, short_name
 from sesameford.effective import EffectiveTree, ServiceSettings
 from sesameford.gateway.calls import Prompt
 from sesameford.gateway.candidates import make_candidates
@@ -21,7 +21,7 @@
     options_for,
     queue_seconds,
 )
-from sesameford.gateway.place import Lease, Place
+from sesameford.gateway.target_record import Lease, Place
 from sesameford.load_messages import FailingTarget, PlaceLoad, TargetOutcomes, UsedParts
 
 # How long a request holds its place in a batch after its first event, until some have
--- a/sesameford/gateway/serve.py
+++ b/sesameford/gateway/serve.py
@@ -7,6 +7,13 @@
 from sesameford.early_answers import take_decision
 from sesameford.event_stream import EventStream
 from sesameford.gateway.admit import begin, decide
+from sesameford.gateway.call_context import (
+    RETRY_AFTER_SECONDS,
+    CutError,
+    GatewayDeps,
+    Refusal,
+    Run,
+)
 from sesameford.gateway.call_log import log_end, log_failure
 from sesameford.gateway.calls import Headers, Sending
 from sesameford.gateway.candidates import Nowhere
@@ -19,14 +26,7 @@
     body_until,
 )
 from sesameford.gateway.own_answer import refuse
-from sesameford.gateway.place import Lease
-from sesameford.gateway.run import (
-    RETRY_AFTER_SECONDS,
-    CutError,
-    GatewayDeps,
-    Refusal,
-    Run,
-)
+from sesameford.gateway.target_record import Lease
 
 # Targets to which no connection comes about, before a call is given up: each costs up
 # to the time to connect.
--- a/sesameford/inbox.py
+++ b/sesameford/inbox.py
@@ -29,9 +29,9 @@
 )
 from sesameford.order_service import OrderService
 from sesameford.outcomes import Outcomes
-from sesameford.owner_words import OwnerWords
+from sesameford.owner_queries import OwnerWords
 from sesameford.router import Router
-from sesameford.target_spread import TargetSpread
+from sesameford.target_replication import TargetSpread
 from sesameford.tree_holder import TreeHolder
 
 _TARGET_MESSAGES = (
--- a/sesameford/instance.py
+++ b/sesameford/instance.py
@@ -31,7 +31,7 @@
 from sesameford.order_service import OrderDeps, make_order_service
 from sesameford.outcomes import Outcomes
 from sesameford.overlay import make_overlay, make_topology
-from sesameford.owner_words import OwnerWords
+from sesameford.owner_queries import OwnerWords
 from sesameford.peers import PeerLinks
 from sesameford.planned_stop import PlannedStop
 from sesameford.processor_time import ProcessorTime
@@ -44,7 +44,7 @@
 from sesameford.status import StatusReport
 from sesameford.stops import StopLoad, StopStep
 from sesameford.tables import InstanceState
-from sesameford.target_spread import make_target_spread
+from sesameford.target_replication import make_target_spread
 from sesameford.targets import TargetRegistry
 from sesameford.tls import (
     TlsFiles,
--- a/sesameford/outcomes.py
+++ b/sesameford/outcomes.py
@@ -4,11 +4,11 @@
 
 from sesameford.deaths import Death, OnTargets
 from sesameford.effective import EffectiveTree, FleetSettings
-from sesameford.gates import Gates
 from sesameford.keyed import KeyedRequests
 from sesameford.messages import Outgoing, SuspectNews
 from sesameford.retries import RetryBudget, make_backoff
 from sesameford.suspects import Standing, Suspects, name_death
+from sesameford.target_exclusion import Gates
 
 
 class Outcomes:
--- a/sesameford/peers.py
+++ b/sesameford/peers.py
@@ -16,7 +16,7 @@
 from pynng.exceptions import NNGException, TryAgain
 
 from sesameford.codec import MAX_ENVELOPE_BYTES, decode_envelope, encode_envelope
-from sesameford.discovery.greeted_peer import greeted_peer
+from sesameford.discovery.hello_peer import greeted_peer
 from sesameford.errors import PeerError
 from sesameford.messages import Envelope, Greeting, IncarnationBehind, Message, Outgoing
 from sesameford.peer_state import (
--- a/sesameford/router_state.py
+++ b/sesameford/router_state.py
@@ -3,13 +3,13 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
+from sesameford.account_virtual_times import Standings
 from sesameford.accounts import OwnTotals
 from sesameford.attempts import Attempts
 from sesameford.effective import EffectiveTree
 from sesameford.limits import Limits
 from sesameford.links import ReportLink
 from sesameford.queues import Queues
-from sesameford.standings import Standings
 from sesameford.tables import Target
 from sesameford.windows import Pace
 
--- a/sesameford/tree_holder.py
+++ b/sesameford/tree_holder.py
@@ -9,7 +9,7 @@
 from sesameford.messages import Message, Outgoing
 from sesameford.tables import Instance
 from sesameford.tree_changes import TreeMachine
-from sesameford.tree_spread import TreeSpread
+from sesameford.tree_replication import TreeSpread
 from sesameford.tree_store import TreeStore
 
 logger = logging.getLogger(__name__)
--- a/standins/engine_queue.py
+++ b/standins/engine_queue.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from sesameford.discovery.beat_table import make_beat_table
+from sesameford.discovery.heartbeat_table import make_beat_table
 from sesameford.gateway.candidates import make_candidates
 from sesameford.load_messages import (
     FailingTarget,
--- a/standins/virtual_cold.py
+++ b/standins/virtual_cold.py
@@ -12,7 +12,7 @@
 
 from xxhash import xxh32_intdigest
 
-from sesameford.discovery.beat_table import make_beat_table, short_name
+from sesameford.discovery.heartbeat_table import make_beat_table, short_name
 from sesameford.gateway.cold_permits import make_cold_permits
 from sesameford.gateway.cold_targets import make_cold_targets
 from sesameford.messages import BeatRow
--- a/standins/virtual_engines.py
+++ b/standins/virtual_engines.py
@@ -14,12 +14,12 @@
 from itertools import count
 from random import Random
 
-from sesameford.discovery.beat_table import make_beat_table
+from sesameford.discovery.heartbeat_table import make_beat_table
 from sesameford.effective import ServiceSettings
 from sesameford.gateway.calls import Prompt
 from sesameford.gateway.fleet_sums import FleetSums, LiveInstances, make_fleet_sums
-from sesameford.gateway.place import Lease
 from sesameford.gateway.placement import Placement, make_placement
+from sesameford.gateway.target_record import Lease
 from sesameford.load_messages import FleetLoad, RouterLoad
 from sesameford.messages import BeatRow
 from sesameford.tables import TargetState
--- a/standins/virtual_loop.py
+++ b/standins/virtual_loop.py
@@ -13,14 +13,14 @@
 from typing import cast
 
 from sesameford.gateway.admit import decide
+from sesameford.gateway.call_context import GatewayDeps, GatewayState, Refusal
 from sesameford.gateway.calls import Call, Edge, Prompt
 from sesameford.gateway.forward import Sender
+from sesameford.gateway.gateway_metrics import make_tally
 from sesameford.gateway.load_report import REPORT_SECONDS
 from sesameford.gateway.load_system import LoadSystem
 from sesameford.gateway.placement import Placement
-from sesameford.gateway.run import GatewayDeps, GatewayState, Refusal
 from sesameford.gateway.second_sends import make_second_sends
-from sesameford.gateway.tally import make_tally
 from sesameford.http_ports import BACKLOG_CONNECTIONS
 from sesameford.listener import ACCEPTED_A_TURN
 from sesameford.settings import RetryBudgetSettings
--- a/standins/virtual_shares.py
+++ b/standins/virtual_shares.py
@@ -12,11 +12,11 @@
 from random import Random
 from typing import cast
 
+from sesameford.gateway.call_context import GatewayState, make_gateway_state
 from sesameford.gateway.fleet_sums import LiveInstances
 from sesameford.gateway.load_report import REPORT_SECONDS
 from sesameford.gateway.load_system import LoadSystem, make_load_system
 from sesameford.gateway.placement import Placement
-from sesameford.gateway.run import GatewayState, make_gateway_state
 from sesameford.gateway.share_account import Admission
 from sesameford.load_messages import (
     FleetLoad,
--- a/tests/faults_fixture.py
+++ b/tests/faults_fixture.py
@@ -24,7 +24,7 @@
 from sesameford.relay import RelayDeps
 from sesameford.router import Router
 from sesameford.tables import TargetKind
-from sesameford.target_spread import make_target_spread
+from sesameford.target_replication import make_target_spread
 from sesameford.targets import TargetRegistry
 from sesameford.tree import effective_tree, parse_tree
 from standins.engine import Engine
--- a/tests/gateway_fixture.py
+++ b/tests/gateway_fixture.py
@@ -9,24 +9,24 @@
 from aiohttp import ClientSession, DummyCookieJar, TCPConnector
 
 from sesameford.connection_guard import GuardCounts, GuardLimits, is_crowded
-from sesameford.discovery.beat_table import make_beat_table
+from sesameford.discovery.heartbeat_table import make_beat_table
 from sesameford.effective import EffectiveTree
+from sesameford.gateway.call_context import GatewayDeps, make_gateway_state
 from sesameford.gateway.early_decision import make_early_decision
 from sesameford.gateway.forward import make_sender
+from sesameford.gateway.gateway_metrics import make_tally
 from sesameford.gateway.loop_lag import make_loop_lag
 from sesameford.gateway.placement import make_placement
-from sesameford.gateway.run import GatewayDeps, make_gateway_state
 from sesameford.gateway.second_sends import make_second_sends
 from sesameford.gateway.serve import serve_call
 from sesameford.gateway.share_gate import make_share_gate
-from sesameford.gateway.tally import make_tally
 from sesameford.http_ports import listen_calls, make_session
 from sesameford.messages import BeatRow
 from sesameford.operators_http import digest_of_key
 from sesameford.settings import RetryBudgetSettings
 from sesameford.tables import TargetState
 from sesameford.tree import effective_tree, parse_tree
-from sesameford_platform.edge import make_edge
+from sesameford_platform.wire_adapter import make_edge
 from standins.platform_server import make_platform_server
 
 KEY = "the-clubs-key"
--- a/tests/test_beat_table.py
+++ b/tests/test_beat_table.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, rule
 from msgspec.structs import replace
 
-from sesameford.discovery.beat_table import make_beat_table
+from sesameford.discovery.heartbeat_table import make_beat_table
 from sesameford.messages import BeatRow
 from sesameford.tables import TargetState
 
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from sesameford.discovery.beat_table import make_beat_table, short_name
+from sesameford.discovery.heartbeat_table import make_beat_table, short_name
 from sesameford.effective import DataCentreSettings, EffectiveTree, ServiceSettings
 from sesameford.gateway.calls import Prompt
 from sesameford.gateway.candidates import Nowhere
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from sesameford.discovery.beat_table import make_beat_table
+from sesameford.discovery.heartbeat_table import make_beat_table
 from sesameford.effective import DataCentreSettings, EffectiveTree, ServiceSettings
 from sesameford.evacuations import EvacuationDeps, order_evacuation
 from sesameford.gateway.calls import Prompt, PromptPart
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sesameford.discovery.beat_table import make_beat_table
+from sesameford.discovery.heartbeat_table import make_beat_table
 from sesameford.effective import ServiceSettings
 from sesameford.gateway.calls import Prompt, PromptPart
 from sesameford.gateway.candidates import Nowhere
--- a/tests/test_instance.py
+++ b/tests/test_instance.py
@@ -14,7 +14,7 @@
 from sesameford.errors import SettingsError
 from sesameford.instance import Instance
 from sesameford.settings import DaemonSettings, Listen, OperatorKey, Peer
-from sesameford.tree_spread import TreeSpread
+from sesameford.tree_replication import TreeSpread
 from sesameford.voters import wanted_voters
 
 OPERATOR_KEY = "the-operators-key"
--- a/tests/test_load_system.py
+++ b/tests/test_load_system.py
@@ -3,13 +3,13 @@
 import logging
 from random import Random
 
-from sesameford.discovery.beat_table import make_beat_table
+from sesameford.discovery.heartbeat_table import make_beat_table
+from sesameford.gateway.call_context import make_gateway_state
 from sesameford.gateway.calls import Prompt, PromptPart
 from sesameford.gateway.fleet_sums import LiveInstances
 from sesameford.gateway.load_report import AT_LEAST_SECONDS, REPORT_SECONDS
 from sesameford.gateway.load_system import make_load_system
 from sesameford.gateway.placement import make_placement
-from sesameford.gateway.run import make_gateway_state
 from sesameford.load_messages import CustomerRates, FleetLoad, RouterLoad, ShareRow
 from sesameford.messages import BeatRow
 from sesameford.tables import TargetState
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -5,7 +5,7 @@
 import pytest
 from msgspec.structs import replace
 
-from sesameford.discovery.beat_table import make_beat_table, short_name
+from sesameford.discovery.heartbeat_table import make_beat_table, short_name
 from sesameford.effective import ServiceSettings
 from sesameford.gateway.calls import Prompt, PromptPart
 from sesameford.gateway.engine_backlog import LOST_SECONDS
--- a/tests/test_plain_load.py
+++ b/tests/test_plain_load.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from sesameford.discovery.beat_table import make_beat_table, short_name
+from sesameford.discovery.heartbeat_table import make_beat_table, short_name
 from sesameford.effective import BackendSettings, HttpRouteSettings, ServiceSettings
 from sesameford.gateway.admit import _check_queue
+from sesameford.gateway.call_context import Refusal
 from sesameford.gateway.placement import make_placement
 from sesameford.gateway.queue_limit import make_queue_limit
-from sesameford.gateway.run import Refusal
 from sesameford.load_messages import PlaceLoad
 from sesameford.messages import BeatRow
 from sesameford.tables import TargetState
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -13,8 +13,8 @@
     BadConfigurationError,
     read_configuration,
 )
-from sesameford_platform.edge import make_edge
 from sesameford_platform.settings_watch import make_settings_watch
+from sesameford_platform.wire_adapter import make_edge
 
 BOOT = """
 node_name = "front-1"
--- a/tests/test_platform_fleet.py
+++ b/tests/test_platform_fleet.py
@@ -7,12 +7,12 @@
 
 from aiohttp import ClientSession, TCPConnector
 
-from sesameford.gateway.node import make_node
+from sesameford.gateway.gateway_node import make_node
 from sesameford.gateway.serve import serve_call
 from sesameford.http_ports import listen, listen_calls
 from sesameford.settings import DaemonSettings, Listen
 from sesameford_platform.control import make_control_app
-from sesameford_platform.edge import make_edge
+from sesameford_platform.wire_adapter import make_edge
 from standins.platform_server import make_platform_server
 from tests.test_platform_adapter import CONFIGURATION
 
--- a/tests/test_target_spread_fuzz.py
+++ b/tests/test_target_spread_fuzz.py
@@ -16,7 +16,7 @@
     TargetsWanted,
 )
 from sesameford.tables import TargetKind
-from sesameford.target_spread import VOUCHED_LEASE_SECONDS, make_target_spread
+from sesameford.target_replication import VOUCHED_LEASE_SECONDS, make_target_spread
 from sesameford.targets import TargetRegistry
 
 LEASE_SECONDS = 2.0
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -5,7 +5,7 @@
 
 from sesameford.messages import TargetNews
 from sesameford.tables import TargetKind
-from sesameford.target_spread import make_target_spread
+from sesameford.target_replication import make_target_spread
 from sesameford.targets import TargetRegistry
 
 
--- a/tests/test_tree_fuzz.py
+++ b/tests/test_tree_fuzz.py
@@ -25,7 +25,11 @@
     encode_command,
     make_tree_change,
 )
-from sesameford.tree_spread import ASK_AGAIN_SECONDS, WHOLE_AGAIN_SECONDS, TreeSpread
+from sesameford.tree_replication import (
+    ASK_AGAIN_SECONDS,
+    WHOLE_AGAIN_SECONDS,
+    TreeSpread,
+)
 
 ONE, OTHER = "a1" * 32, "b2" * 32
 TEXTS = (
--- a/tests/test_tree_spread.py
+++ b/tests/test_tree_spread.py
@@ -11,7 +11,7 @@
     parse_tree,
     tree_digest,
 )
-from sesameford.tree_spread import LISTEN_SECONDS, TreeSpread
+from sesameford.tree_replication import LISTEN_SECONDS, TreeSpread
 from sesameford.tree_store import KEPT_STEPS, TreeStep
 
 NODES = dict(parse_tree("customers: {children: {a: {}}}", "t").nodes)
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -115,7 +115,7 @@
 def _tree_lines(tree: Any) -> Sequence[Line]:
     """Return the lines of the settings tree."""
     if not tree:
-        return [Line("settings", "`tree_spread`", "", None, 0, "")]
+        return [Line("settings", "`tree_replication`", "", None, 0, "")]
     row = tree[-1]
     change_cpu = CHANGES_A_DAY * row["one_change_in_force_ms"] / 1e3 / DAY_SECONDS
     wire = row["one_change_message_bytes"] + WIRE_HEADER_BYTES
@@ -124,7 +124,7 @@
     return [
         Line(
             "settings: a change in force at a node",
-            "`tree_spread`, `tree_in_force`",
+            "`tree_replication`, `tree_in_force`",
             f"{CHANGES_A_DAY} changes a day x {row['one_change_in_force_ms']:.2f} ms",
             change_cpu,
             CONTROL_CPU,
@@ -132,7 +132,7 @@
         ),
         Line(
             "settings: bytes, changes and restarts",
-            "`tree_spread`",
+            "`tree_replication`",
             f"{CHANGES_A_DAY} x {wire:.0f} bytes + {RESTARTS_A_DAY}/{NODES} whole trees"
             f" of {row['whole_message_bytes'] / 1e6:.2f} MB a day",
             change_bytes,
@@ -169,7 +169,7 @@
             lines.append(
                 Line(
                     f"membership: {role}, idle, {unit}",
-                    "`peers`, `members`, `target_spread`",
+                    "`peers`, `members`, `target_replication`",
                     f"{slope['fixed']:.4g} + {in_data_centre:.0f} x {each:.3g}",
                     slope["fixed"] + in_data_centre * max(0.0, each),
                     budget,
--- a/tools/count.py
+++ b/tools/count.py
@@ -13,15 +13,16 @@
 AREAS = {
     "routing": "router relay pools queues pool_allocation virtual_time prompts prefix"
     " scheduling leased leases allocation allocator independent scheduler_switch"
-    " estimates windows affinity accounts place_reports demand lending place engine_"
-    " engine_memory load_report load_system fleet_sums router_loads"
+    " estimates windows affinity accounts place_reports demand lending place"
+    " target_record engine_ engine_memory load_report load_system fleet_sums"
+    " router_loads"
     " aggregator_choice service_balance share_gate shares"
-    " route_table serve run forward admit calls",
-    "limits": "limits gates costs grant_answers shares loop_lag",
+    " route_table serve call_context forward admit calls",
+    "limits": "limits target_exclusion costs grant_answers shares loop_lag",
     "retries": "retries suspects deaths silence outcomes claims keyed answers"
     " completion_run service_run caller_side quarantine probes second_sends",
-    "membership": "members target election owner_words peer_state stops voters keepers"
-    " beat_table roster founding seeds",
+    "membership": "members target election owner_queries peer_state stops voters"
+    " keepers heartbeat_table roster founding seeds",
     "state and recovery": "log_ tree state_machine fencing proposals effective",
 }
 _PLUMBING = "plumbing"
