--- a/benchmarks/tree_bench.py
+++ b/benchmarks/tree_bench.py
@@ -16,7 +16,7 @@
 from rich.table import Table
 
 from sesameford.codec import encode_envelope
-from sesameford.messages import Envelope, Message, TreeWanted
+from sesameford.messages import Envelope, Message, TreeRequest
 from sesameford.tables import Instance, InstanceState
 from sesameford.tree import DeclaredTree, difference, parse_tree, parse_tree_in_slices
 from sesameford.tree_changes import TreeChange, TreeMachine, make_tree_change
@@ -156,7 +156,7 @@
 
     def _other_costs(self, tree: DeclaredTree) -> None:
         """Measure a whole tree sent and taken, its text, a snapshot, memory."""
-        answer = self.spread.received("e2", TreeWanted(0, whole=True), {}, 0.0)
+        answer = self.spread.received("e2", TreeRequest(0, whole=True), {}, 0.0)
         message = answer[0].message
         self.note("whole_message_bytes", envelope_bytes([message]))
         other = TreeSpread("e2", "a", 1, 0.0)
--- a/sesameford/account_virtual_times.py
+++ b/sesameford/account_virtual_times.py
@@ -4,7 +4,7 @@
 
 from sesameford.accounts import Account
 from sesameford.allocator_state import PATIENCE_SECONDS
-from sesameford.slot_messages import PoolNews
+from sesameford.slot_messages import PoolUpdate
 
 
 @dataclass(slots=True)
@@ -21,16 +21,16 @@
     def __init__(self) -> None:
         self._known: dict[Account, _Known] = {}
         self._waited_at_seconds: dict[Account, float] = {}
-        self._news: dict[str, PoolNews] = {}
+        self._news: dict[str, PoolUpdate] = {}
 
     def accounts(self) -> list[Account]:
         """Return the accounts of which something is known."""
         return list(self._known)
 
-    def take(self, news: PoolNews) -> None:
+    def take(self, news: PoolUpdate) -> None:
         """Take the allocator's news of a pool."""
         self._news[news.pool] = news
-        for row in news.standings:
+        for row in news.virtual_times:
             known = _Known(row.virtual_time, row.counted_cost_units)
             self._known[(news.pool, row.customer_id)] = known
 
--- a/sesameford/allocator.py
+++ b/sesameford/allocator.py
@@ -124,7 +124,7 @@
         self._term += 1
         base = dict(self.state.totals.accounts())
         link = ReportLink(receiver_id, self._term, now_seconds, holdings, base)
-        link.wants_full = True
+        link.requests_full = True
         self.state.places[name] = Place(link)
 
     def seed(self, account: Account, virtual_time: float) -> None:
@@ -156,7 +156,7 @@
                 now_seconds,
                 now_seconds,
             )
-            link.wants_full = not report.full
+            link.requests_full = not report.full
             link.urgent = True
             state.links[sender_id] = link
         if not link.accept(report, now_seconds):
--- a/sesameford/allocator_state.py
+++ b/sesameford/allocator_state.py
@@ -6,7 +6,7 @@
 from sesameford.accounts import OriginTotals, OwnTotals
 from sesameford.effective import EffectiveTree
 from sesameford.links import GrantLink, ReportLink
-from sesameford.slot_messages import PaceRow, PoolNews
+from sesameford.slot_messages import CompletionTotalsRow, PoolUpdate
 from sesameford.tables import Target
 from sesameford.virtual_time import VirtualTimes
 from sesameford.windows import Pace, Window, adapt_window, make_window, regrow_window
@@ -40,7 +40,7 @@
     """Another data centre: its allocator, and what it last said of its pools."""
 
     link: ReportLink
-    news: dict[str, PoolNews] = field(default_factory=dict)
+    news: dict[str, PoolUpdate] = field(default_factory=dict)
     reported_wanted: dict[str, float] = field(default_factory=dict)
     reported_slots: dict[str, int] = field(default_factory=dict)
     reported_times_at_seconds: float = float("-inf")
@@ -133,7 +133,9 @@
         self.windows[target_id] = (self.targets[target_id].incarnation, window)
         return window
 
-    def take_pace(self, link: GrantLink, row: PaceRow, now_seconds: float) -> None:
+    def take_pace(
+        self, link: GrantLink, row: CompletionTotalsRow, now_seconds: float
+    ) -> None:
         """Adapt a target's window to completions that a router reports."""
         if not self.owns(row.target_id) or row.target_id not in self.targets:
             return
--- a/sesameford/announcements.py
+++ b/sesameford/announcements.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct, json
 
-from sesameford.messages import TargetNews
+from sesameford.messages import TargetAnnouncement
 from sesameford.operators_http import Problem
 from sesameford.tables import TargetKind
 
@@ -68,9 +68,9 @@
             raise Problem(400, "bad-body", f"{name}: out of range")
 
 
-def target_news(body: AnnounceBody) -> TargetNews:
+def target_news(body: AnnounceBody) -> TargetAnnouncement:
     """Return an announcement as instances pass it on."""
-    return TargetNews(
+    return TargetAnnouncement(
         target_id=body.target_id,
         incarnation=body.incarnation,
         announcement_sequence=body.sequence,
--- a/sesameford/claims.py
+++ b/sesameford/claims.py
@@ -89,7 +89,7 @@
     certain: bool = True
 
 
-class Release(Struct, frozen=True, tag=True):
+class ClaimRelease(Struct, frozen=True, tag="Release"):
     """Provably nothing was run under this claim; forget it."""
 
     customer_id: str
@@ -125,7 +125,7 @@
     rows: tuple[_ClaimRow, ...]
 
 
-ClaimCommand = Claim | TakeOver | Completion | Release
+ClaimCommand = Claim | TakeOver | Completion | ClaimRelease
 
 _encoder = Encoder()
 _command_decoder = Decoder(ClaimCommand)
@@ -234,7 +234,7 @@
             return self._take_over(index, command, row)
         if row is None or row.claim_index != command.claim_index:
             return ClaimReply(verdict=ClaimVerdict.SUPERSEDED)
-        if isinstance(command, Release):
+        if isinstance(command, ClaimRelease):
             return self._release(row)
         return self._complete(row, command)
 
--- a/sesameford/discovery/heartbeat_table.py
+++ b/sesameford/discovery/heartbeat_table.py
@@ -13,13 +13,13 @@
 from xxhash import xxh32_intdigest, xxh64_intdigest
 
 from sesameford.messages import (
-    BeatRow,
-    BeatRows,
-    BeatRowsTaken,
-    BeatRowsWanted,
-    BeatsHeard,
+    HeartbeatRow,
+    HeartbeatRows,
+    HeartbeatRowsAck,
+    HeartbeatRowsRequest,
     Message,
     Outgoing,
+    RecentHeartbeats,
 )
 from sesameford.tables import TargetState
 
@@ -33,7 +33,7 @@
 class KnownTarget:
     """A row with when a beat of the target was last heard of here."""
 
-    row: BeatRow
+    row: HeartbeatRow
     heard_at_seconds: float
     cold_until_seconds: float = float("-inf")
     gone_at_seconds: float | None = None
@@ -59,7 +59,7 @@
     _asked_at_seconds: dict[str, float] = field(default_factory=dict)
 
     def beat(
-        self, row: BeatRow, now_seconds: float, token: int = 0
+        self, row: HeartbeatRow, now_seconds: float, token: int = 0
     ) -> Sequence[Outgoing]:
         """Take a target's own heartbeat or leave.
 
@@ -74,7 +74,7 @@
         self._beat_here.add(short_name(row.target_id))
         if not self._take(row, now_seconds):
             return ()
-        return [Outgoing(None, BeatRows((row,), token), urgent=True)]
+        return [Outgoing(None, HeartbeatRows((row,), token), urgent=True)]
 
     def left(
         self, target_id: str, now_seconds: float, token: int = 0
@@ -82,7 +82,7 @@
         """Take a target's word that it ends; nothing brings this id back."""
         known = self.known.get(target_id)
         if known is None:
-            row = BeatRow(target_id, 0, "", "", "", 0, TargetState.GONE)
+            row = HeartbeatRow(target_id, 0, "", "", "", 0, TargetState.GONE)
         else:
             row = replace(known.row, state=TargetState.GONE)
         return self.beat(row, now_seconds, token)
@@ -92,27 +92,27 @@
     ) -> Sequence[Outgoing]:
         """Take a message about targets from another instance."""
         match message:
-            case BeatRows():
+            case HeartbeatRows():
                 for row in message.rows:
                     self._take(row, now_seconds)
                 if message.token and self.has_disk:
-                    taken = BeatRowsTaken(message.token)
+                    taken = HeartbeatRowsAck(message.token)
                     return [Outgoing(sender_id, taken, urgent=True)]
-            case BeatsHeard():
+            case RecentHeartbeats():
                 return self._compare(sender_id, message, now_seconds)
-            case BeatRowsWanted():
+            case HeartbeatRowsRequest():
                 rows = tuple(one.row for one in self.known.values())
-                return [Outgoing(sender_id, BeatRows(rows), urgent=True)]
+                return [Outgoing(sender_id, HeartbeatRows(rows), urgent=True)]
         return ()
 
     def by_name(self, name: int) -> KnownTarget | None:
         """Return a target by its short name, None if nothing is known of it."""
         return self.known.get(self._names.get(name, ""))
 
-    def heard(self) -> BeatsHeard:
+    def heard(self) -> RecentHeartbeats:
         """Return what to tell the others regularly."""
         names, self._beat_here = tuple(self._beat_here), set()
-        return BeatsHeard(names, self._digest)
+        return RecentHeartbeats(names, self._digest)
 
     def forget(self, now_seconds: float) -> None:
         """Drop the rows of targets that ended long ago."""
@@ -125,7 +125,7 @@
                 del self.known[target_id]
                 self._names.pop(short_name(target_id), None)
 
-    def _take(self, row: BeatRow, now_seconds: float) -> bool:
+    def _take(self, row: HeartbeatRow, now_seconds: float) -> bool:
         """Take a row that is newer; return whether more than its number changed.
 
         A heartbeat may be held up on its way and arrive after later ones, or after
@@ -152,7 +152,7 @@
         self._put(row, now_seconds)
         return True
 
-    def _put(self, row: BeatRow, now_seconds: float) -> None:
+    def _put(self, row: HeartbeatRow, now_seconds: float) -> None:
         known = self.known.get(row.target_id)
         if known is not None:
             self._digest ^= _digest_of(known.row)
@@ -167,7 +167,7 @@
         self.changes += 1
 
     def _compare(
-        self, sender_id: str, message: BeatsHeard, now_seconds: float
+        self, sender_id: str, message: RecentHeartbeats, now_seconds: float
     ) -> Sequence[Outgoing]:
         for name in message.names:
             target_id = self._names.get(name)
@@ -182,7 +182,7 @@
         ):
             return ()
         self._asked_at_seconds[sender_id] = now_seconds
-        return [Outgoing(sender_id, BeatRowsWanted(), urgent=True)]
+        return [Outgoing(sender_id, HeartbeatRowsRequest(), urgent=True)]
 
 
 def short_name(target_id: str) -> int:
@@ -190,7 +190,7 @@
     return xxh32_intdigest(target_id.encode())
 
 
-def _digest_of(row: BeatRow) -> int:
+def _digest_of(row: HeartbeatRow) -> int:
     """Return one row's part of the digest: what decides whether it gets work.
 
     Those that are gone count for nothing, since each instance forgets them at a
--- a/sesameford/discovery/hello_peer.py
+++ b/sesameford/discovery/hello_peer.py
@@ -1,9 +1,9 @@
 """Whom a greeting comes from."""
 
-from sesameford.messages import Greeting
+from sesameford.messages import Hello
 from sesameford.settings import Peer
 
 
-def greeted_peer(sender_id: str, greeting: Greeting) -> Peer:
+def greeted_peer(sender_id: str, greeting: Hello) -> Peer:
     """Return the sender of a greeting as the other end of a link."""
     return Peer(sender_id, greeting.data_centre, greeting.address, greeting.has_disk)
--- a/sesameford/discovery/roster.py
+++ b/sesameford/discovery/roster.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from sesameford.discovery.hello_peer import greeted_peer
-from sesameford.messages import Greeting, ReplicaRow
+from sesameford.messages import Hello, ReplicaRow
 from sesameford.settings import Peer
 
 # A replica that nobody has heard for so long is named to nobody any more. Longer than
@@ -45,7 +45,7 @@
         self.seeds = tuple(seeds)
 
     def greeted(
-        self, sender_id: str, greeting: Greeting, now_seconds: float
+        self, sender_id: str, greeting: Hello, now_seconds: float
     ) -> Sequence[Peer]:
         """Take a greeting.
 
@@ -67,14 +67,14 @@
             found.append(Peer(row.instance_id, row.data_centre, row.address, True))
         return found
 
-    def greeting(self, now_seconds: float) -> Greeting:
+    def greeting(self, now_seconds: float) -> Hello:
         """Return what this instance tells of itself and of those with disks."""
         replicas = [
             ReplicaRow(one.peer.instance_id, one.peer.data_centre, one.peer.peers)
             for one in self._known.values()
             if one.peer.has_disk and now_seconds - one.heard_at_seconds < NAMED_SECONDS
         ]
-        return Greeting(
+        return Hello(
             self._own.peers,
             self._own.data_centre,
             self._own.has_disk,
--- a/sesameford/fencing.py
+++ b/sesameford/fencing.py
@@ -49,7 +49,7 @@
     number: int
 
 
-class Release(Struct, frozen=True, tag=4, array_like=True):
+class LeaseRelease(Struct, frozen=True, tag=4, array_like=True):
     """I hold this lease no more and none of my orders is under way."""
 
     name: str
@@ -80,7 +80,7 @@
     reason: str
 
 
-FencingCommand = Acquire | AcquireSlot | Renew | Release
+FencingCommand = Acquire | AcquireSlot | Renew | LeaseRelease
 FencingAnswer = Granted | Held | Ended | Malformed
 
 _encoder = Encoder()
@@ -147,7 +147,7 @@
                 return self._acquire(index, names, command.holder, command.waited_out)
             case Renew():
                 return self._renew(command)
-            case Release():
+            case LeaseRelease():
                 return self._release(command)
 
     def _acquire(
@@ -189,7 +189,7 @@
         self._leases[command.name] = renewed
         return Granted(renewed, taken_over=False)
 
-    def _release(self, command: Release) -> FencingAnswer:
+    def _release(self, command: LeaseRelease) -> FencingAnswer:
         """Free a lease."""
         if _is_of(self._leases.get(command.name), command):
             del self._leases[command.name]
@@ -215,7 +215,7 @@
     return f"{group}/{slot}"
 
 
-def _is_of(present: LeaseView | None, command: Renew | Release) -> bool:
+def _is_of(present: LeaseView | None, command: Renew | LeaseRelease) -> bool:
     """Return whether the sender of a command holds the lease."""
     return present is not None and (present.holder, present.number) == (
         command.holder,
--- a/sesameford/gateway/fleet_sums.py
+++ b/sesameford/gateway/fleet_sums.py
@@ -224,7 +224,7 @@
         )
         self.failing = self._outcomes.failing(now_seconds)
         return FleetLoad(
-            places_added_up(load.places for load in loads),
+            places_added_up(load.target_loads for load in loads),
             routers,
             self.shares.rows(),
             is_whole=self._is_whole(known_routers, live_routers, now_seconds),
@@ -248,14 +248,14 @@
                 router_id,
                 replace(
                     sums,
-                    places=places_without(
-                        sums.places, self._loads.places_of(router_id)
+                    target_loads=places_without(
+                        sums.target_loads, self._loads.places_of(router_id)
                     ),
                     used=tuple(
                         row for sender_id, row in used if sender_id != router_id
                     ),
                     permits=tuple(permits.get(router_id, ())),
-                    permits_asked_milliseconds=self._loads.asked_milliseconds(
+                    permits_requested_milliseconds=self._loads.asked_milliseconds(
                         router_id
                     ),
                 ),
--- a/sesameford/gateway/gateway_node.py
+++ b/sesameford/gateway/gateway_node.py
@@ -40,26 +40,31 @@
 from sesameford.gateway.second_sends import make_second_sends
 from sesameford.http_ports import make_session
 from sesameford.link_key import load_link_key
-from sesameford.load_messages import FleetLoad, PartialLoad, RouterLoad, RouterLoadEnds
+from sesameford.load_messages import (
+    FleetLoad,
+    PartialLoad,
+    RouterLoad,
+    RouterLoadHandover,
+)
 from sesameford.log_service import make_log_service
 from sesameford.members import make_members
 from sesameford.messages import (
-    BeatRow,
-    BeatRows,
-    BeatRowsTaken,
-    BeatRowsWanted,
-    BeatsHeard,
-    Greeting,
     Heartbeat,
-    IncarnationBehind,
+    HeartbeatRow,
+    HeartbeatRows,
+    HeartbeatRowsAck,
+    HeartbeatRowsRequest,
+    Hello,
     LogPayload,
     Message,
     Outgoing,
     ProposalReply,
     ProposalRequest,
+    RecentHeartbeats,
+    StaleIncarnation,
+    TreeRequest,
+    TreeSnapshot,
     TreeSteps,
-    TreeWanted,
-    TreeWhole,
 )
 from sesameford.peers import PeerLinks, seed_peer_id
 from sesameford.planned_stop import PlannedStop
@@ -270,7 +275,7 @@
 
     # --- what control asks ----------------------------------------------------
 
-    async def target_beat(self, row: BeatRow) -> None:
+    async def target_beat(self, row: HeartbeatRow) -> None:
         """Take a target's heartbeat and tell all others what changed.
 
         A target that leaves is acknowledged only once another replica knows it too,
@@ -403,29 +408,29 @@
     def _received(self, sender_id: str, incarnation: int, message: Message) -> None:
         now_seconds = self._now()
         match message:
-            case Greeting():
+            case Hello():
                 for peer in self._roster.greeted(sender_id, message, now_seconds):
                     self._link(peer)
                 self._answer_start(sender_id, incarnation)
-            case IncarnationBehind():
-                self._raise_incarnation(message.heard)
+            case StaleIncarnation():
+                self._raise_incarnation(message.highest_incarnation)
             case Heartbeat():
                 self._roster.heard(sender_id, now_seconds)
                 self._members.heard(sender_id, incarnation, message, now_seconds)
-            case BeatRows() | BeatsHeard() | BeatRowsWanted():
+            case HeartbeatRows() | RecentHeartbeats() | HeartbeatRowsRequest():
                 self._send_all(self.table.received(sender_id, message, now_seconds))
-            case BeatRowsTaken():
+            case HeartbeatRowsAck():
                 if message.token in self._taken:
                     self._taken[message.token].set()
             case RouterLoad():
                 self.load.received(sender_id, message, now_seconds)
-            case RouterLoadEnds():
+            case RouterLoadHandover():
                 self.load.ended(sender_id)
             case PartialLoad():
                 self.load.received_partial(sender_id, message, now_seconds)
             case FleetLoad():
                 self.load.heard(sender_id, message, now_seconds)
-            case TreeSteps() | TreeWhole() | TreeWanted():
+            case TreeSteps() | TreeSnapshot() | TreeRequest():
                 self._tree.received(sender_id, message)
             case LogPayload() | ProposalRequest() | ProposalReply():
                 self._log.received(sender_id, incarnation, message, now_seconds)
@@ -468,7 +473,7 @@
                 "an earlier process had a higher number", extra={"of": heard}
             )
 
-    def _log_target(self, row: BeatRow, before: KnownTarget | None) -> None:
+    def _log_target(self, row: HeartbeatRow, before: KnownTarget | None) -> None:
         was_cold = before is not None and before.row.cold_milliseconds > 0
         text = "target changed"
         if row.cold_milliseconds:
--- a/sesameford/gateway/load_report.py
+++ b/sesameford/gateway/load_report.py
@@ -1,6 +1,6 @@
 """What a router reports of its work, and what it knows of the fleet's."""
 
-from sesameford.load_messages import FleetLoad, PlaceLoad
+from sesameford.load_messages import FleetLoad, TargetLoad
 
 # What a router reports, and what it is sent of the fleet, counts for so long.
 REPORT_VALID_SECONDS = 1.6
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         self.routers = 1
         self._direct_routers = 1
-        self._last_places: tuple[PlaceLoad, ...] = ()
+        self._last_places: tuple[TargetLoad, ...] = ()
         self._next_seconds = 0.0
         self._at_latest_seconds = 0.0
         self._heard_at_seconds = float("-inf")
@@ -30,7 +30,7 @@
         """Return whether a report can be due, before anything is worked out for it."""
         return now_seconds >= min(self._next_seconds, self._at_latest_seconds)
 
-    def is_due(self, places: tuple[PlaceLoad, ...], now_seconds: float) -> bool:
+    def is_due(self, places: tuple[TargetLoad, ...], now_seconds: float) -> bool:
         """Return whether there is something to report.
 
         Args:
@@ -39,7 +39,7 @@
         """
         return now_seconds >= self._at_latest_seconds or places != self._last_places
 
-    def reported(self, places: tuple[PlaceLoad, ...], now_seconds: float) -> None:
+    def reported(self, places: tuple[TargetLoad, ...], now_seconds: float) -> None:
         """Note that a report leaves now."""
         self._last_places = places
         self._next_seconds = now_seconds + report_seconds(self._direct_routers)
--- a/sesameford/gateway/load_system.py
+++ b/sesameford/gateway/load_system.py
@@ -24,7 +24,12 @@
 from sesameford.gateway.placement import Placement
 from sesameford.gateway.share_gate import make_share_gate
 from sesameford.gateway.shares import ShareTable, make_share_table
-from sesameford.load_messages import FleetLoad, PartialLoad, RouterLoad, RouterLoadEnds
+from sesameford.load_messages import (
+    FleetLoad,
+    PartialLoad,
+    RouterLoad,
+    RouterLoadHandover,
+)
 from sesameford.messages import Outgoing
 
 logger = logging.getLogger(__name__)
@@ -90,7 +95,7 @@
             return
         self.report.heard(fleet, now_seconds)
         self._placement.candidates.cold.take(
-            fleet.permits, fleet.permits_asked_milliseconds / 1000, now_seconds
+            fleet.permits, fleet.permits_requested_milliseconds / 1000, now_seconds
         )
         state = self._state()
         if state is not None and fleet.used:
@@ -100,7 +105,7 @@
             self._whole_at_seconds = now_seconds
         whole_age_seconds = now_seconds - self._whole_at_seconds
         if fleet.is_whole or whole_age_seconds > REPORT_VALID_SECONDS:
-            self._placement.take_others(fleet.places)
+            self._placement.take_others(fleet.target_loads)
             self.gate.take(fleet.shares)
 
     def received(self, router_id: str, load: RouterLoad, now_seconds: float) -> None:
@@ -180,7 +185,7 @@
             now_seconds,
         )
         if before not in (None, chosen):
-            self._send(Outgoing(before, RouterLoadEnds(), urgent=True))
+            self._send(Outgoing(before, RouterLoadHandover(), urgent=True))
         return chosen
 
     def _wait_seconds(self, now_seconds: float) -> float:
@@ -210,7 +215,7 @@
             declared_tokens /= self.report.routers
         own = PartialLoad(
             1,
-            load.places,
+            load.target_loads,
             load.customers,
             load.wait_seconds,
             load.handled_tokens,
--- a/sesameford/gateway/operator_calls.py
+++ b/sesameford/gateway/operator_calls.py
@@ -13,7 +13,7 @@
 from sesameford.tree_changes import (
     MACHINE_NAME,
     REFUSED,
-    DeclaredWanted,
+    DeclaredVersionQuery,
     TreeDeclaration,
     TreeMachine,
     decode_answer,
@@ -86,7 +86,7 @@
             NoQuorumError: This instance can't be sure which one is the newest.
         """
         name = f"read/{token_hex(8)}"
-        wanted = encode_command(DeclaredWanted())
+        wanted = encode_command(DeclaredVersionQuery())
         answer = decode_answer(await self.propose(name, MACHINE_NAME, wanted))
         give_up_at_seconds = self.now() + CATCH_UP_SECONDS
         while self.machine().declared_version < answer.version:
--- a/sesameford/gateway/placement.py
+++ b/sesameford/gateway/placement.py
@@ -22,7 +22,12 @@
     queue_seconds,
 )
 from sesameford.gateway.target_record import Lease, Place
-from sesameford.load_messages import FailingTarget, PlaceLoad, TargetOutcomes, UsedParts
+from sesameford.load_messages import (
+    FailingTarget,
+    TargetLoad,
+    TargetOutcomes,
+    UsedParts,
+)
 
 # How long a request holds its place in a batch after its first event, until some have
 # ended; a request more than an engine has places waits until one of them ends.
@@ -348,10 +353,10 @@
         self._mean_waits[service] = _MeanWait(seconds, valid_until_seconds)
         return seconds
 
-    def loads(self, now_seconds: float) -> tuple[PlaceLoad, ...]:
+    def loads(self, now_seconds: float) -> tuple[TargetLoad, ...]:
         """Return what this router has under way."""
         return tuple(
-            PlaceLoad(
+            TargetLoad(
                 short_name(target_id),
                 place.running_requests(now_seconds),
                 place.backlog.unread_tokens(now_seconds),
@@ -407,7 +412,7 @@
             memory_tokens = engine.cache_tokens if engine else None
             self._place(known.row.target_id).memory.take(row, memory_tokens)
 
-    def take_others(self, loads: Iterable[PlaceLoad]) -> None:
+    def take_others(self, loads: Iterable[TargetLoad]) -> None:
         """Take what all other routers have under way, by target."""
         self._mean_waits.clear()
         by_name = {load.name: load for load in loads}
--- a/sesameford/gateway/router_loads.py
+++ b/sesameford/gateway/router_loads.py
@@ -9,8 +9,8 @@
 from sesameford.load_messages import (
     CustomerRates,
     PartialLoad,
-    PlaceLoad,
     RouterLoad,
+    TargetLoad,
     TargetOutcomes,
     UsedParts,
 )
@@ -58,15 +58,15 @@
         """Return the routers that report here."""
         return self._reported.keys()
 
-    def places_of(self, router_id: str) -> tuple[PlaceLoad, ...]:
+    def places_of(self, router_id: str) -> tuple[TargetLoad, ...]:
         """Return what one router has under way."""
-        return self._reported[router_id].load.places
+        return self._reported[router_id].load.target_loads
 
     def asking(self) -> list[str]:
         """Return the routers that ask for permits, each report once."""
         asking = []
         for router_id, one in self._reported.items():
-            asked_milliseconds = one.load.permits_asked_milliseconds
+            asked_milliseconds = one.load.permits_requested_milliseconds
             if asked_milliseconds > self._asked_milliseconds.get(router_id, 0):
                 self._asked_milliseconds[router_id] = asked_milliseconds
                 asking.append(router_id)
@@ -91,7 +91,7 @@
         waits_seconds = [load.wait_seconds for load in loads]
         return PartialLoad(
             len(loads),
-            places_added_up(load.places for load in loads),
+            places_added_up(load.target_loads for load in loads),
             customers_added_up(load.customers for load in loads),
             round(sum(waits_seconds) / max(len(loads), 1), 4),
             sum(load.handled_tokens for load in loads),
@@ -102,22 +102,22 @@
         )
 
 
-def places_added_up(tables: Iterable[tuple[PlaceLoad, ...]]) -> tuple[PlaceLoad, ...]:
+def places_added_up(tables: Iterable[tuple[TargetLoad, ...]]) -> tuple[TargetLoad, ...]:
     """Return what is under way at each target in all tables together."""
     rows = ((one.name, one.requests, one.unread_tokens) for one in chain(*tables))
-    return tuple(PlaceLoad(name, *sums) for name, sums in _added_up(rows))
+    return tuple(TargetLoad(name, *sums) for name, sums in _added_up(rows))
 
 
 def places_without(
-    all_places: tuple[PlaceLoad, ...], own_places: tuple[PlaceLoad, ...]
-) -> tuple[PlaceLoad, ...]:
+    all_places: tuple[TargetLoad, ...], own_places: tuple[TargetLoad, ...]
+) -> tuple[TargetLoad, ...]:
     """Return what is under way at each target beside one router's part of it."""
     own = {place.name: place for place in own_places}
     places = []
     for place in all_places:
         mine = own.get(place.name)
         if mine is not None:
-            place = PlaceLoad(
+            place = TargetLoad(
                 place.name,
                 place.requests - mine.requests,
                 place.unread_tokens - mine.unread_tokens,
@@ -138,7 +138,8 @@
 ) -> tuple[CustomerRates, ...]:
     """Return what each customer asks and is served in all tables together."""
     rows = (
-        (one.customer, one.asked_tokens, one.begun_tokens) for one in chain(*tables)
+        (one.customer, one.requested_tokens, one.started_tokens)
+        for one in chain(*tables)
     )
     return tuple(CustomerRates(customer, *sums) for customer, sums in _added_up(rows))
 
--- a/sesameford/gateway/shares.py
+++ b/sesameford/gateway/shares.py
@@ -78,8 +78,8 @@
         declared_tokens = (declared_tokens or FIRST_CAPACITY_TOKENS) * available_part
         self.routers = sum(load.routers for load in loads)
         rows = customers_added_up(load.customers for load in loads)
-        self.asked_tokens = {row.customer: row.asked_tokens for row in rows}
-        begun_tokens = {row.customer: row.begun_tokens for row in rows}
+        self.asked_tokens = {row.customer: row.requested_tokens for row in rows}
+        begun_tokens = {row.customer: row.started_tokens for row in rows}
         self.wanted_wait_seconds = wanted_wait_seconds * wait_factor(
             sum(load.in_time_answers for load in loads),
             sum(load.late_answers for load in loads),
--- a/sesameford/grant_answers.py
+++ b/sesameford/grant_answers.py
@@ -11,7 +11,12 @@
     GrantLink,
 )
 from sesameford.messages import Outgoing
-from sesameford.slot_messages import LimitShareRow, PoolNews, SlotGrants, StandingRow
+from sesameford.slot_messages import (
+    LimitShareRow,
+    PoolUpdate,
+    SlotGrants,
+    VirtualTimeRow,
+)
 
 _STANDING_THRESHOLD_QUANTA = 0.25
 _STANDINGS_REPORTED = 64
@@ -36,7 +41,7 @@
     for holder_id in sorted(state.links):
         link = state.links[holder_id]
         since = now_seconds - link.sent_at_seconds
-        urgent = link.urgent or link.full_due or link.wants_full
+        urgent = link.urgent or link.full_due or link.requests_full
         heartbeat = HEARTBEAT_SECONDS
         if holder_id in joined:
             heartbeat *= JOINED_FRACTION
@@ -54,9 +59,9 @@
         message = SlotGrants(
             link.term,
             sequence,
-            link.report_seen,
+            link.acknowledged_report,
             full,
-            link.wants_full,
+            link.requests_full,
             grants,
             recalls,
             pools,
@@ -68,7 +73,7 @@
 
 def _news(
     state: AllocatorState, link: GrantLink, now_seconds: float
-) -> tuple[PoolNews, ...]:
+) -> tuple[PoolUpdate, ...]:
     """Return what a holder should know of the pools."""
     news = []
     for pool, pool_state in sorted(state.pools.items()):
@@ -79,20 +84,20 @@
         link.reported_contended[pool] = contended
         floor = pool_state.floor_virtual_time
         floor = None if floor is None else round(floor, 1)
-        news.append(PoolNews(pool, contended, floor, standings))
+        news.append(PoolUpdate(pool, contended, floor, standings))
     return tuple(news)
 
 
 def _standings(
     state: AllocatorState, link: GrantLink, pool: str, pool_state: PoolState
-) -> tuple[StandingRow, ...]:
+) -> tuple[VirtualTimeRow, ...]:
     """Return the virtual times that a router needs and does not know."""
     threshold = _STANDING_THRESHOLD_QUANTA * state.quantum()
     rows = []
     customers = sorted({key[1] for key in link.demands if key[0] == pool})
     for customer in customers:
         account = (pool, customer)
-        row = StandingRow(
+        row = VirtualTimeRow(
             customer,
             round(pool_state.times.virtual_time(customer), 1),
             round(state.origins.total(link.holder_id, account), 1),
--- a/sesameford/inbox.py
+++ b/sesameford/inbox.py
@@ -8,24 +8,24 @@
 from sesameford.members import Members
 from sesameford.messages import (
     Heartbeat,
-    KeptAnswer,
-    KeptAnswerWanted,
+    LeaseAttestations,
     LogPayload,
     Message,
     ModelUse,
-    ModelUseWanted,
+    ModelUseQuery,
     ProposalReply,
     ProposalRequest,
-    SuspectNews,
-    TargetNews,
-    TargetRenewed,
+    StoredAnswer,
+    StoredAnswerQuery,
+    SuspectUpdate,
+    TargetAnnouncement,
+    TargetRenewal,
     TargetRow,
     TargetRows,
-    TargetsVouched,
-    TargetsWanted,
+    TargetRowsRequest,
+    TreeRequest,
+    TreeSnapshot,
     TreeSteps,
-    TreeWanted,
-    TreeWhole,
 )
 from sesameford.order_service import OrderService
 from sesameford.outcomes import Outcomes
@@ -35,7 +35,12 @@
 from sesameford.tree_holder import TreeHolder
 
 _TARGET_MESSAGES = (
-    TargetNews | TargetRenewed | TargetRow | TargetRows | TargetsVouched | TargetsWanted
+    TargetAnnouncement
+    | TargetRenewal
+    | TargetRow
+    | TargetRows
+    | LeaseAttestations
+    | TargetRowsRequest
 )
 
 
@@ -64,17 +69,17 @@
         match message:
             case Heartbeat():
                 deps.members.heard(sender_id, incarnation, message, now_seconds)
-            case TreeSteps() | TreeWhole() | TreeWanted():
+            case TreeSteps() | TreeSnapshot() | TreeRequest():
                 deps.tree.received(sender_id, message)
             case LogPayload() | ProposalRequest() | ProposalReply():
                 deps.log.received(sender_id, incarnation, message, now_seconds)
-            case SuspectNews():
+            case SuspectUpdate():
                 deps.outcomes.received(message, now_seconds)
-            case KeptAnswerWanted():
+            case StoredAnswerQuery():
                 deps.words.asked(sender_id, message, deps.keyed)
-            case KeptAnswer():
+            case StoredAnswer():
                 deps.words.received(message)
-            case ModelUseWanted():
+            case ModelUseQuery():
                 deps.orders.wanted(sender_id, message)
             case ModelUse():
                 deps.orders.told(sender_id, incarnation, message)
@@ -96,17 +101,17 @@
 ) -> bool:
     """Take news of targets; return whether the table of targets may have changed."""
     match message:
-        case TargetNews():
+        case TargetAnnouncement():
             targets.announced(message, now_seconds)
-        case TargetRenewed():
+        case TargetRenewal():
             targets.renewed(sender_id, message, now_seconds)
         case TargetRow():
             return targets.row_heard(sender_id, message, now_seconds)
         case TargetRows():
             targets.rows_heard(sender_id, message, now_seconds)
             return True
-        case TargetsVouched():
+        case LeaseAttestations():
             targets.vouched(sender_id, message, now_seconds)
-        case TargetsWanted():
+        case TargetRowsRequest():
             targets.wanted(sender_id, message, now_seconds)
     return False
--- a/sesameford/instance.py
+++ b/sesameford/instance.py
@@ -25,7 +25,7 @@
 from sesameford.link_key import load_link_key
 from sesameford.log_service import make_log_service
 from sesameford.members import make_members
-from sesameford.messages import Message, Outgoing, TargetNews
+from sesameford.messages import Message, Outgoing, TargetAnnouncement
 from sesameford.metrics import Metrics
 from sesameford.operators import OperatorsDeps, make_operators_routes
 from sesameford.order_service import OrderDeps, make_order_service
@@ -397,7 +397,7 @@
             return None
         return self._machine.history(before_revision)
 
-    def _announce(self, news: TargetNews) -> bool:
+    def _announce(self, news: TargetAnnouncement) -> bool:
         taken = self.targets.announced(news, self._now())
         self._send_target_messages()
         self.router.tick()
--- a/sesameford/keyed.py
+++ b/sesameford/keyed.py
@@ -17,10 +17,10 @@
     ClaimAnswer,
     ClaimCommand,
     ClaimOwner,
+    ClaimRelease,
     ClaimReply,
     ClaimVerdict,
     Completion,
-    Release,
     TakeOver,
     decode_claim_reply,
     encode_claim_command,
@@ -249,7 +249,7 @@
         key = (request.customer_id, request.idempotency_key, claim_index)
         command: ClaimCommand
         if end.outcome is Outcome.NOT_RUN:
-            command = Release(*key, at_seconds=at_seconds)
+            command = ClaimRelease(*key, at_seconds=at_seconds)
             del self._started[claim_index]
         else:
             certain = end.outcome is Outcome.RAN
@@ -273,7 +273,7 @@
         """Find out whether a given-up claim was taken, and release it."""
         reply = await self._propose_until_heard(proposal_id, encoded)
         if reply.verdict is ClaimVerdict.RUN:
-            release = Release(
+            release = ClaimRelease(
                 request.customer_id,
                 request.idempotency_key,
                 reply.claim_index,
--- a/sesameford/leases.py
+++ b/sesameford/leases.py
@@ -15,9 +15,9 @@
     FencingCommand,
     Granted,
     Held,
+    LeaseRelease,
     LeaseView,
     Malformed,
-    Release,
     Renew,
 )
 
@@ -157,7 +157,7 @@
             return None
         lease = held.lease
         return LeaseCommand(
-            Release(lease.name, self._holder, lease.number), now_seconds
+            LeaseRelease(lease.name, self._holder, lease.number), now_seconds
         )
 
     def _take(self, asked: LeaseCommand, lease: LeaseView, taken_over: bool) -> None:
--- a/sesameford/links.py
+++ b/sesameford/links.py
@@ -11,15 +11,15 @@
 
 from sesameford.accounts import Account
 from sesameford.slot_messages import (
+    CompletionTotalsRow,
     DemandRow,
     GrantRow,
     HoldingRow,
-    PaceRow,
     PoolReport,
     ServedRow,
     ShareReport,
     SlotGrants,
-    StandingRow,
+    VirtualTimeRow,
 )
 from sesameford.windows import Pace
 
@@ -63,11 +63,11 @@
     base: dict[Account, float] = field(default_factory=dict)
     receiver_incarnation: int | None = None
     sequence: int = 0
-    grants_seen: int = 0
+    acknowledged_grants: int = 0
     lease_expires_at_seconds: float = 0.0
     regained_at_seconds: float = float("-inf")
     full_due: bool = True
-    wants_full: bool = False
+    requests_full: bool = False
     answered: bool = False
     sent_at_seconds: float = float("-inf")
     sent: dict[int, float] = field(default_factory=dict)
@@ -106,9 +106,9 @@
         Returns:
             False where the message is from the past and must be ignored.
         """
-        if grants.term != self.term or grants.sequence <= self.grants_seen:
+        if grants.term != self.term or grants.sequence <= self.acknowledged_grants:
             return False
-        if grants.report_seen > self.sequence:
+        if grants.acknowledged_report > self.sequence:
             # It answers the process that ran here before, whose terms had the same
             # numbers. Taken for the newest, it would hide all that is meant for this.
             return False
@@ -119,22 +119,22 @@
         if grants.full:
             self.holdings = {row.target_id: row.slots for row in grants.grants}
             self.reported_holdings = dict(self.holdings)
-            self.wants_full = False
+            self.requests_full = False
         else:
             # A lost message may have held a grant that would now idle.
-            if grants.sequence != self.grants_seen + 1:
-                self.wants_full = True
+            if grants.sequence != self.acknowledged_grants + 1:
+                self.requests_full = True
             for row in grants.grants:
                 self.holdings[row.target_id] = row.slots
                 self.reported_holdings[row.target_id] = row.slots
         for row in grants.recalls:
             held = self.holdings.get(row.target_id, 0)
             self.holdings[row.target_id] = min(held, row.slots)
-        if grants.wants_full:
+        if grants.requests_full:
             self.full_due = True
-        self.grants_seen = grants.sequence
+        self.acknowledged_grants = grants.sequence
         self.answered = True
-        self._renew(grants.report_seen)
+        self._renew(grants.acknowledged_report)
         return True
 
     def returns_slots(self, running: Mapping[str, int]) -> bool:
@@ -144,13 +144,13 @@
             for target_id, reported in self.reported_holdings.items()
         )
 
-    def _renew(self, report_seen: int) -> None:
+    def _renew(self, acknowledged_report: int) -> None:
         """Run the lease from when the report that was answered left here."""
-        sent_at = self.sent.get(report_seen)
+        sent_at = self.sent.get(acknowledged_report)
         if sent_at is not None:
             expiry = sent_at + LEASE_SECONDS
             self.lease_expires_at_seconds = max(self.lease_expires_at_seconds, expiry)
-        for sequence in [known for known in self.sent if known < report_seen]:
+        for sequence in [known for known in self.sent if known < acknowledged_report]:
             del self.sent[sequence]
 
     def begin_report(self, now_seconds: float) -> int:
@@ -209,7 +209,7 @@
             rows.setdefault(key[0], []).append(row)
         return rows
 
-    def pace_rows(self, paces: Mapping[str, Pace]) -> tuple[PaceRow, ...]:
+    def pace_rows(self, paces: Mapping[str, Pace]) -> tuple[CompletionTotalsRow, ...]:
         """Return the completions since the term began that grew by enough."""
         rows = []
         for target_id, pace in paces.items():
@@ -220,7 +220,7 @@
                 continue
             self.reported_paces[target_id] = since
             rows.append(
-                PaceRow(
+                CompletionTotalsRow(
                     target_id,
                     since.completions,
                     round(since.cost_units),
@@ -289,11 +289,11 @@
     term: int
     opened_at_seconds: float
     heard_at_seconds: float
-    report_seen: int = 0
-    grants_seen: int = 0
+    acknowledged_report: int = 0
+    acknowledged_grants: int = 0
     sequence: int = 0
     full_due: bool = True
-    wants_full: bool = False
+    requests_full: bool = False
     urgent: bool = False
     sent_at_seconds: float = float("-inf")
     holdings: dict[str, int] = field(default_factory=dict)
@@ -326,26 +326,30 @@
 
     def accept(self, report: ShareReport, now_seconds: float) -> bool:
         """Check a report's number; False for one from the past."""
-        if report.sequence <= self.report_seen:
+        if report.sequence <= self.acknowledged_report:
             return False
-        in_order = report.sequence == self.report_seen + 1
+        in_order = report.sequence == self.acknowledged_report + 1
         if report.full:
-            self.wants_full = False
+            self.requests_full = False
             self.demands = {}
         elif not in_order:
-            self.wants_full = True
-        if report.wants_full:
+            self.requests_full = True
+        if report.requests_full:
             self.full_due = True
         if (
-            report.grants_seen < self.sequence
+            report.acknowledged_grants < self.sequence
             and now_seconds - self.sent_at_seconds >= RESEND_SECONDS
         ):
             # The last answer seems lost, and the holder's lease runs on answers.
             self.urgent = True
-        self.report_seen = report.sequence
+        self.acknowledged_report = report.sequence
         self.heard_at_seconds = now_seconds
-        self.grants_seen = max(self.grants_seen, report.grants_seen)
-        self.pending = [row for row in self.pending if row.sequence > self.grants_seen]
+        self.acknowledged_grants = max(
+            self.acknowledged_grants, report.acknowledged_grants
+        )
+        self.pending = [
+            row for row in self.pending if row.sequence > self.acknowledged_grants
+        ]
         return True
 
     def take_demands(
@@ -372,7 +376,7 @@
             for target_id in self.holdings:
                 reported.setdefault(target_id, 0)
         for target_id, slots in reported.items():
-            crossed = self.granted_in.get(target_id, 0) > self.grants_seen
+            crossed = self.granted_in.get(target_id, 0) > self.acknowledged_grants
             if not crossed and target_id not in self.raised:
                 self._hold(target_id, slots)
 
@@ -430,7 +434,7 @@
         return self.sequence, tuple(grants), tuple(recalls)
 
     def standing_is_news(
-        self, account: Account, standing: StandingRow, share: float, threshold: float
+        self, account: Account, standing: VirtualTimeRow, share: float, threshold: float
     ) -> bool:
         """Return whether a virtual time moved by others' service; note that."""
         foreign = standing.virtual_time - standing.counted_cost_units / share
--- a/sesameford/load_messages.py
+++ b/sesameford/load_messages.py
@@ -3,7 +3,7 @@
 from msgspec import Struct
 
 
-class PlaceLoad(Struct, frozen=True, array_like=True):
+class TargetLoad(Struct, frozen=True, array_like=True):
     """Requests under way at one target, and the tokens of them not read yet."""
 
     name: int
@@ -44,12 +44,12 @@
 class CustomerRates(Struct, frozen=True, array_like=True):
     """What a customer asks and is served at some routers, in tokens a second.
 
-    ``begun_tokens`` are of requests whose answers engines have begun.
+    ``started_tokens`` are of requests whose answers engines have begun.
     """
 
     customer: str
-    asked_tokens: int
-    begun_tokens: int = 0
+    requested_tokens: int
+    started_tokens: int = 0
 
 
 class ShareRow(Struct, frozen=True, array_like=True):
@@ -65,22 +65,22 @@
     ``wait_seconds`` is how long a prompt waits at an engine, as the router sees it;
     ``handled_tokens`` what engines begin to answer or fail, a second; ``used`` what it
     sent to engines since its last report, ``outcomes`` how targets answered since. With
-    ``permits_asked_milliseconds``, a time of its own clock, it asks for permits to send
-    to cold targets. ``in_time_answers`` and ``late_answers`` begin there a second.
+    ``permits_requested_milliseconds``, a time of its own clock, it asks for permits to
+    send to cold targets. ``in_time_answers`` and ``late_answers`` begin there a second.
     """
 
-    places: tuple[PlaceLoad, ...]
+    target_loads: tuple[TargetLoad, ...]
     customers: tuple[CustomerRates, ...] = ()
     wait_seconds: float = 0.0
     handled_tokens: float = 0.0
     used: tuple[UsedParts, ...] = ()
     outcomes: tuple[TargetOutcomes, ...] = ()
-    permits_asked_milliseconds: int = 0
+    permits_requested_milliseconds: int = 0
     in_time_answers: float = 0.0
     late_answers: float = 0.0
 
 
-class RouterLoadEnds(Struct, frozen=True, array_like=True, tag=True):
+class RouterLoadHandover(Struct, frozen=True, array_like=True, tag="RouterLoadEnds"):
     """I report my loads to another replica from now on; count them there."""
 
 
@@ -91,10 +91,10 @@
     ``direct_routers`` report to the sender. ``used`` is what they have sent to engines
     since the last of these messages. Of one that is not ``is_whole`` the sums and
     shares are of a part of the routers. The receiver may send one request to each cold
-    target in ``permits``, for which it asked at ``permits_asked_milliseconds``.
+    target in ``permits``, for which it asked at ``permits_requested_milliseconds``.
     """
 
-    places: tuple[PlaceLoad, ...]
+    target_loads: tuple[TargetLoad, ...]
     routers: int
     shares: tuple[ShareRow, ...] = ()
     used: tuple[UsedParts, ...] = ()
@@ -103,7 +103,7 @@
     direct_routers: int = 0
     failing: tuple[FailingTarget, ...] = ()
     permits: tuple[int, ...] = ()
-    permits_asked_milliseconds: int = 0
+    permits_requested_milliseconds: int = 0
 
 
 class PartialLoad(Struct, frozen=True, array_like=True, tag=True):
@@ -114,7 +114,7 @@
     """
 
     routers: int = 0
-    places: tuple[PlaceLoad, ...] = ()
+    target_loads: tuple[TargetLoad, ...] = ()
     customers: tuple[CustomerRates, ...] = ()
     wait_seconds: float = 0.0
     handled_tokens: float = 0.0
--- a/sesameford/members.py
+++ b/sesameford/members.py
@@ -15,8 +15,8 @@
 from sesameford.messages import (
     Heartbeat,
     MemberRow,
-    MembersNews,
-    MembersWanted,
+    MembersRequest,
+    MembersUpdate,
     Outgoing,
 )
 from sesameford.tables import Instance, InstanceState, Table
@@ -122,7 +122,9 @@
             self._reachable[sender_id] = frozenset(heartbeat.reachable)
             self._compare(sender_id, heartbeat.members_digest, now_seconds)
 
-    def news_heard(self, sender_id: str, news: MembersNews, now_seconds: float) -> None:
+    def news_heard(
+        self, sender_id: str, news: MembersUpdate, now_seconds: float
+    ) -> None:
         """Take rows from a hub."""
         for row in news.rows:
             known = self._rows.get(row.instance_id)
@@ -136,7 +138,7 @@
 
     def wanted(self, sender_id: str) -> None:
         """Send the whole table to an instance whose own differs."""
-        news = MembersNews(tuple(self._rows), is_whole=True)
+        news = MembersUpdate(tuple(self._rows), is_whole=True)
         self._outgoing.append(Outgoing(sender_id, news))
 
     def outgoing(
@@ -156,7 +158,7 @@
             for peer_id in peers:
                 rows = self._rows_for(peer_id, peers[peer_id], changed)
                 if rows:
-                    self._outgoing.append(Outgoing(peer_id, MembersNews(rows)))
+                    self._outgoing.append(Outgoing(peer_id, MembersUpdate(rows)))
         due, self._outgoing = self._outgoing, []
         return due
 
@@ -235,7 +237,7 @@
             self._own = replace(self._own, change_number=number)
             self._put(self._own, self._instance_id)
 
-    def _give_back(self, hub_id: str, news: MembersNews) -> None:
+    def _give_back(self, hub_id: str, news: MembersUpdate) -> None:
         """Send a hub the rows that its whole table lacks.
 
         A hub that restarted empty does not know the silent ones; the digests would
@@ -248,7 +250,7 @@
             if _stamp(row) > told.get(row.instance_id, (0, 0, 0))
         )
         if lacking:
-            self._outgoing.append(Outgoing(hub_id, MembersNews(lacking)))
+            self._outgoing.append(Outgoing(hub_id, MembersUpdate(lacking)))
 
     def _compare(self, hub_id: str, digest: int, now_seconds: float) -> None:
         """Ask a hub for all rows once its digest has differed for a while."""
@@ -258,7 +260,7 @@
         since_seconds = self._differs_since_seconds.setdefault(hub_id, now_seconds)
         if now_seconds - since_seconds >= WANTED_AFTER_SECONDS:
             self._differs_since_seconds[hub_id] = now_seconds
-            self._outgoing.append(Outgoing(hub_id, MembersWanted()))
+            self._outgoing.append(Outgoing(hub_id, MembersRequest()))
 
     def _note_silent(self, now_seconds: float) -> None:
         """Tell all of own instances that this hub has not heard for too long."""
--- a/sesameford/messages.py
+++ b/sesameford/messages.py
@@ -7,7 +7,12 @@
 
 from msgspec import Struct
 
-from sesameford.load_messages import FleetLoad, PartialLoad, RouterLoad, RouterLoadEnds
+from sesameford.load_messages import (
+    FleetLoad,
+    PartialLoad,
+    RouterLoad,
+    RouterLoadHandover,
+)
 from sesameford.slot_messages import ShareReport, SlotGrants
 from sesameford.tables import InstanceState, TargetKind, TargetState
 
@@ -22,7 +27,7 @@
     address: str
 
 
-class Greeting(Struct, frozen=True, array_like=True, tag=True):
+class Hello(Struct, frozen=True, array_like=True, tag="Greeting"):
     """Who I am, where links reach me, and the instances with disks that I know.
 
     ``founds`` says that this deployment starts for the first time.
@@ -35,16 +40,16 @@
     replicas: tuple[ReplicaRow, ...]
 
 
-class IncarnationBehind(Struct, frozen=True, array_like=True, tag=True):
+class StaleIncarnation(Struct, frozen=True, array_like=True, tag="IncarnationBehind"):
     """An earlier process of yours had a higher number; count from above it."""
 
-    heard: int
+    highest_incarnation: int
 
 
 # --- targets by their heartbeats -----------------------------------------------
 
 
-class BeatRow(Struct, frozen=True, array_like=True):
+class HeartbeatRow(Struct, frozen=True, array_like=True):
     """What a target last said of itself.
 
     ``sequence`` grows with a target's heartbeats; ``state`` is ready, draining or gone,
@@ -64,30 +69,30 @@
     incarnation: int = 0
 
 
-class BeatRows(Struct, frozen=True, array_like=True, tag=True):
+class HeartbeatRows(Struct, frozen=True, array_like=True, tag="BeatRows"):
     """Targets that are new or have changed, or all of them where asked.
 
     A replica answers one with a ``token`` by it.
     """
 
-    rows: tuple[BeatRow, ...]
+    rows: tuple[HeartbeatRow, ...]
     token: int = 0
 
 
-class BeatRowsTaken(Struct, frozen=True, array_like=True, tag=True):
+class HeartbeatRowsAck(Struct, frozen=True, array_like=True, tag="BeatRowsTaken"):
     """I have the rows that came with this token."""
 
     token: int
 
 
-class BeatsHeard(Struct, frozen=True, array_like=True, tag=True):
+class RecentHeartbeats(Struct, frozen=True, array_like=True, tag="BeatsHeard"):
     """Short names of the targets that beat here of late, and a digest of all rows."""
 
     names: tuple[int, ...]
     digest: int
 
 
-class BeatRowsWanted(Struct, frozen=True, array_like=True, tag=True):
+class HeartbeatRowsRequest(Struct, frozen=True, array_like=True, tag="BeatRowsWanted"):
     """Your digest differs from mine; send me all rows."""
 
 
@@ -128,18 +133,18 @@
     is_hub: bool
 
 
-class MembersNews(Struct, frozen=True, array_like=True, tag=True):
+class MembersUpdate(Struct, frozen=True, array_like=True, tag="MembersNews"):
     """Rows that changed, or the whole table where it was asked for."""
 
     rows: tuple[MemberRow, ...]
     is_whole: bool = False
 
 
-class MembersWanted(Struct, frozen=True, array_like=True, tag=True):
+class MembersRequest(Struct, frozen=True, array_like=True, tag="MembersWanted"):
     """My table differs from yours for a while now; send me all of it."""
 
 
-class Routed(Struct, frozen=True, array_like=True, tag=True):
+class RelayedMessage(Struct, frozen=True, array_like=True, tag="Routed"):
     """A message to an instance that the sender has no link to, by way of hubs."""
 
     origin_id: str
@@ -149,7 +154,7 @@
     payload: bytes
 
 
-class Flooded(Struct, frozen=True, array_like=True, tag=True):
+class BroadcastMessage(Struct, frozen=True, array_like=True, tag="Flooded"):
     """A message to all instances, by way of hubs."""
 
     origin_id: str
@@ -157,7 +162,7 @@
     payload: bytes
 
 
-class TargetNews(Struct, frozen=True, array_like=True, tag=True):
+class TargetAnnouncement(Struct, frozen=True, array_like=True, tag="TargetNews"):
     """What a target announced; also how an announcement reaches its keeper.
 
     ``announcement_sequence`` grows with every announcement of an incarnation, so
@@ -178,7 +183,7 @@
     leaving: bool = False
 
 
-class TargetRenewed(Struct, frozen=True, array_like=True, tag=True):
+class TargetRenewal(Struct, frozen=True, array_like=True, tag="TargetRenewed"):
     """A target has announced the same again; for its keeper alone."""
 
     target_id: str
@@ -195,20 +200,20 @@
     ``is_lapsed`` says that the lease has run out, which another announcement mends.
     """
 
-    keeper_id: str
+    lease_holder_id: str
     version: int
-    news: TargetNews
+    announcement: TargetAnnouncement
     is_lapsed: bool = False
 
 
 class TargetRows(Struct, frozen=True, array_like=True, tag=True):
     """All targets of a keeper; others that the receiver has of it are dropped."""
 
-    keeper_id: str
+    lease_holder_id: str
     rows: tuple[TargetRow, ...]
 
 
-class Vouch(Struct, frozen=True, array_like=True):
+class LeaseAttestation(Struct, frozen=True, array_like=True):
     """A keeper's word that all targets it keeps have live leases.
 
     ``digest`` is over the targets; where the receiver's differs it asks for them.
@@ -216,21 +221,21 @@
     takes a third of the bytes of a float, in the most frequent message at rest.
     """
 
-    keeper_id: str
+    lease_holder_id: str
     digest: int
     age_milliseconds: int
 
 
-class TargetsVouched(Struct, frozen=True, array_like=True, tag=True):
+class LeaseAttestations(Struct, frozen=True, array_like=True, tag="TargetsVouched"):
     """Words of keepers, passed on together."""
 
-    vouches: tuple[Vouch, ...]
+    attestations: tuple[LeaseAttestation, ...]
 
 
-class TargetsWanted(Struct, frozen=True, array_like=True, tag=True):
+class TargetRowsRequest(Struct, frozen=True, array_like=True, tag="TargetsWanted"):
     """Send me the rows of all targets of a keeper."""
 
-    keeper_id: str
+    lease_holder_id: str
 
 
 # --- settings tree -------------------------------------------------------------
@@ -255,7 +260,7 @@
     steps: tuple[TreeStepRow, ...]
 
 
-class TreeWhole(Struct, frozen=True, array_like=True, tag=True):
+class TreeSnapshot(Struct, frozen=True, array_like=True, tag="TreeWhole"):
     """The whole tree at a revision, for one who is too far behind for steps."""
 
     revision: int
@@ -263,7 +268,7 @@
     digest: bytes
 
 
-class TreeWanted(Struct, frozen=True, array_like=True, tag=True):
+class TreeRequest(Struct, frozen=True, array_like=True, tag="TreeWanted"):
     """Send me what came after this revision; ``whole`` wants no steps."""
 
     revision: int
@@ -298,7 +303,7 @@
 # --- outcomes ------------------------------------------------------------------
 
 
-class SuspectNews(Struct, frozen=True, array_like=True, tag=True):
+class SuspectUpdate(Struct, frozen=True, array_like=True, tag="SuspectNews"):
     """How often a body's digest was in flight alone or together at a death.
 
     ``deaths`` is the set of target incarnations that died; sets merge by union.
@@ -309,7 +314,7 @@
     cleared: bool
 
 
-class KeptAnswerWanted(Struct, frozen=True, array_like=True, tag=True):
+class StoredAnswerQuery(Struct, frozen=True, array_like=True, tag="KeptAnswerWanted"):
     """What became of the run under this claim of yours?
 
     ``incarnation`` and ``request_id`` are the owner's, as the log has them.
@@ -321,11 +326,11 @@
     request_id: str
 
 
-class KeptAnswer(Struct, frozen=True, array_like=True, tag=True):
+class StoredAnswer(Struct, frozen=True, array_like=True, tag="KeptAnswer"):
     """The owner's word on a run; ``status`` 0 where no answer is kept here."""
 
     query_id: str
-    standing: str
+    run_state: str
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes
@@ -334,7 +339,7 @@
 # --- orders to engines ---------------------------------------------------------
 
 
-class ModelUseWanted(Struct, frozen=True, array_like=True, tag=True):
+class ModelUseQuery(Struct, frozen=True, array_like=True, tag="ModelUseWanted"):
     """How many requests of a model still run from you on a target?"""
 
     target_id: str
@@ -353,38 +358,38 @@
 
 Message = (
     Heartbeat
-    | Greeting
-    | IncarnationBehind
-    | BeatRows
-    | BeatRowsTaken
-    | BeatsHeard
-    | BeatRowsWanted
+    | Hello
+    | StaleIncarnation
+    | HeartbeatRows
+    | HeartbeatRowsAck
+    | RecentHeartbeats
+    | HeartbeatRowsRequest
     | RouterLoad
     | FleetLoad
-    | RouterLoadEnds
+    | RouterLoadHandover
     | PartialLoad
-    | MembersNews
-    | MembersWanted
-    | Routed
-    | Flooded
-    | TargetNews
-    | TargetRenewed
+    | MembersUpdate
+    | MembersRequest
+    | RelayedMessage
+    | BroadcastMessage
+    | TargetAnnouncement
+    | TargetRenewal
     | TargetRow
     | TargetRows
-    | TargetsVouched
-    | TargetsWanted
+    | LeaseAttestations
+    | TargetRowsRequest
     | TreeSteps
-    | TreeWhole
-    | TreeWanted
+    | TreeSnapshot
+    | TreeRequest
     | ShareReport
     | SlotGrants
     | LogPayload
     | ProposalRequest
     | ProposalReply
-    | SuspectNews
-    | KeptAnswerWanted
-    | KeptAnswer
-    | ModelUseWanted
+    | SuspectUpdate
+    | StoredAnswerQuery
+    | StoredAnswer
+    | ModelUseQuery
     | ModelUse
 )
 
--- a/sesameford/operators.py
+++ b/sesameford/operators.py
@@ -23,7 +23,7 @@
     order_evacuation,
 )
 from sesameford.log_service import COMMAND_LIMIT_BYTES
-from sesameford.messages import TargetNews
+from sesameford.messages import TargetAnnouncement
 from sesameford.operators_http import (
     Problem,
     answering,
@@ -50,7 +50,7 @@
     REFUSED,
     ChangeAnswer,
     HistoryEntry,
-    HistoryWanted,
+    HistoryQuery,
     TreeChange,
     decode_answer,
     decode_history,
@@ -94,7 +94,7 @@
     caught_up: Callable[[int, float], Awaitable[bool]]
     local_history: Callable[[int], Sequence[HistoryEntry] | None]
     status: Callable[[], StatusReport]
-    announce: Callable[[TargetNews], bool]
+    announce: Callable[[TargetAnnouncement], bool]
     leave: Callable[[str, int, int], bool]
     now: Callable[[], float]
     wall_seconds: Callable[[], float]
@@ -334,7 +334,7 @@
 async def _history(deps: OperatorsDeps, before: int) -> list[dict[str, Any]]:
     """Return a page of the history, agreed where there is a quorum."""
     try:
-        entries = decode_history(await _propose(deps, "history", HistoryWanted(before)))
+        entries = decode_history(await _propose(deps, "history", HistoryQuery(before)))
     except Problem:
         local = deps.local_history(before)
         if local is None:
--- a/sesameford/order_service.py
+++ b/sesameford/order_service.py
@@ -23,7 +23,7 @@
     make_lease_keeper,
     make_slot_keeper,
 )
-from sesameford.messages import ModelUse, ModelUseWanted, Outgoing
+from sesameford.messages import ModelUse, ModelUseQuery, Outgoing
 from sesameford.orders import ORDER_DEADLINE_SECONDS, Order, OrderBook, OrderKind
 from sesameford.state_machine import Propose
 from sesameford.tables import Instance, InstanceState, Target
@@ -104,7 +104,7 @@
         for order in due:
             self._consider(order, declared[order.target_id], now_seconds)
 
-    def wanted(self, sender_id: str, message: ModelUseWanted) -> None:
+    def wanted(self, sender_id: str, message: ModelUseQuery) -> None:
         """Tell an orderer how many requests of a model run from here.
 
         Under an older tree new ones may still be sent there, so nothing is told
@@ -195,7 +195,7 @@
             return True
         if self._book.must_ask(order, now_seconds):
             revision = self._deps.tree().revision
-            wanted = ModelUseWanted(order.target_id, order.subject, revision)
+            wanted = ModelUseQuery(order.target_id, order.subject, revision)
             for instance_id, _ in processes[1:]:
                 self._deps.send(Outgoing(instance_id, wanted))
         return False
--- a/sesameford/outcomes.py
+++ b/sesameford/outcomes.py
@@ -5,7 +5,7 @@
 from sesameford.deaths import Death, OnTargets
 from sesameford.effective import EffectiveTree, FleetSettings
 from sesameford.keyed import KeyedRequests
-from sesameford.messages import Outgoing, SuspectNews
+from sesameford.messages import Outgoing, SuspectUpdate
 from sesameford.retries import RetryBudget, make_backoff
 from sesameford.suspects import Standing, Suspects, name_death
 from sesameford.target_exclusion import Gates
@@ -60,7 +60,7 @@
         deaths = self.on_targets.replaced(target_id, incarnation)
         self._take_deaths(deaths, now_seconds)
 
-    def received(self, news: SuspectNews, now_seconds: float) -> None:
+    def received(self, news: SuspectUpdate, now_seconds: float) -> None:
         """Take another router's news of a suspect."""
         self.suspects.received(news, now_seconds)
 
--- a/sesameford/overlay.py
+++ b/sesameford/overlay.py
@@ -8,13 +8,13 @@
 from sesameford.errors import PeerError
 from sesameford.members import Members
 from sesameford.messages import (
-    Flooded,
-    MembersNews,
-    MembersWanted,
+    BroadcastMessage,
+    MembersRequest,
+    MembersUpdate,
     Message,
     Outgoing,
-    Routed,
-    SuspectNews,
+    RelayedMessage,
+    SuspectUpdate,
 )
 from sesameford.settings import DaemonSettings
 
@@ -24,7 +24,7 @@
 MAX_HOPS = 3
 # Messages to all that must reach instances without a link; the other messages to
 # all speak of the link itself or are told on by the module that they are for.
-_FLOODED = (SuspectNews,)
+_FLOODED = (SuspectUpdate,)
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,14 +84,14 @@
         receiver_id = outgoing.receiver_id
         if receiver_id is None and here.hubs and isinstance(outgoing.message, _FLOODED):
             payload = encode_message(outgoing.message)
-            flooded = Flooded(here.instance_id, here.incarnation, payload)
+            flooded = BroadcastMessage(here.instance_id, here.incarnation, payload)
             for peer_id in self._flood_to(None):
                 self._send(Outgoing(peer_id, flooded, outgoing.urgent))
         elif receiver_id is None or receiver_id in here.peers:
             self._send(outgoing)
         else:
             payload = encode_message(outgoing.message)
-            routed = Routed(
+            routed = RelayedMessage(
                 here.instance_id, here.incarnation, receiver_id, MAX_HOPS, payload
             )
             self._route(routed, now_seconds)
@@ -101,17 +101,17 @@
     ) -> None:
         """Take a message from a link."""
         match message:
-            case Routed():
+            case RelayedMessage():
                 self._take_routed(message, now_seconds)
-            case Flooded():
+            case BroadcastMessage():
                 for peer_id in self._flood_to(sender_id):
                     self._send(Outgoing(peer_id, message, urgent=True))
                 self._unpack(
                     message.origin_id, message.origin_incarnation, message.payload
                 )
-            case MembersNews():
+            case MembersUpdate():
                 self._members.news_heard(sender_id, message, now_seconds)
-            case MembersWanted():
+            case MembersRequest():
                 self._members.wanted(sender_id)
             case _:
                 self._deliver(sender_id, incarnation, message)
@@ -128,12 +128,12 @@
             return None
         return self._members.live_hub(here.data_centre, here.hubs, now_seconds)
 
-    def _take_routed(self, message: Routed, now_seconds: float) -> None:
+    def _take_routed(self, message: RelayedMessage, now_seconds: float) -> None:
         here = self._topology
         if message.receiver_id == here.instance_id:
             self._unpack(message.origin_id, message.origin_incarnation, message.payload)
         elif here.is_hub and message.hops_left > 1:
-            onward = Routed(
+            onward = RelayedMessage(
                 message.origin_id,
                 message.origin_incarnation,
                 message.receiver_id,
@@ -144,7 +144,7 @@
         else:
             self.unroutable_messages += 1
 
-    def _route(self, message: Routed, now_seconds: float) -> None:
+    def _route(self, message: RelayedMessage, now_seconds: float) -> None:
         """Send a message on towards its receiver; without a way it is lost."""
         hop_id = self._next_hop(message.receiver_id, now_seconds)
         if hop_id is None:
@@ -185,7 +185,7 @@
         except PeerError as error:
             logger.warning("from %s by way of hubs: %s", origin_id, error)
             return
-        if isinstance(message, Routed | Flooded):
+        if isinstance(message, RelayedMessage | BroadcastMessage):
             # Unpacked again and again, one message could keep this instance busy
             # for ever; no instance of ours packs one into another.
             self.unroutable_messages += 1
--- a/sesameford/owner_queries.py
+++ b/sesameford/owner_queries.py
@@ -6,7 +6,7 @@
 
 from sesameford.claims import ClaimAnswer, ClaimOwner
 from sesameford.keyed import KeyedRequests, OwnerWord, RunStanding
-from sesameford.messages import KeptAnswer, KeptAnswerWanted, Outgoing
+from sesameford.messages import Outgoing, StoredAnswer, StoredAnswerQuery
 
 ANSWER_WITHIN_SECONDS = 1.0
 MAX_QUESTIONS = 10_000
@@ -34,7 +34,7 @@
         query_id = f"{self._router_id}/{next(self._numbers)}"
         answer: asyncio.Future[OwnerWord] = asyncio.get_running_loop().create_future()
         self._waiting[query_id] = answer
-        question = KeptAnswerWanted(
+        question = StoredAnswerQuery(
             query_id, claim_index, owner.incarnation, owner.request_id
         )
         self._send(Outgoing(owner.router_id, question, urgent=True))
@@ -46,13 +46,13 @@
         finally:
             del self._waiting[query_id]
 
-    def received(self, message: KeptAnswer) -> None:
+    def received(self, message: StoredAnswer) -> None:
         """Take an owner's word; one that comes late or twice is dropped."""
         answer = self._waiting.get(message.query_id)
         if answer is None or answer.done():
             return
         try:
-            standing = RunStanding(message.standing)
+            standing = RunStanding(message.run_state)
         except ValueError:
             return
         kept = None
@@ -61,13 +61,13 @@
         answer.set_result(OwnerWord(standing, kept))
 
     def asked(
-        self, sender_id: str, message: KeptAnswerWanted, keyed: KeyedRequests
+        self, sender_id: str, message: StoredAnswerQuery, keyed: KeyedRequests
     ) -> None:
         """Answer another router's question."""
         owner = ClaimOwner(self._router_id, message.incarnation, message.request_id)
         word = keyed.word_on(owner, message.claim_index)
         kept = word.answer or ClaimAnswer(0, (), b"")
-        answer = KeptAnswer(
+        answer = StoredAnswer(
             message.query_id,
             word.standing.value,
             kept.status,
--- a/sesameford/peers.py
+++ b/sesameford/peers.py
@@ -18,7 +18,7 @@
 from sesameford.codec import MAX_ENVELOPE_BYTES, decode_envelope, encode_envelope
 from sesameford.discovery.hello_peer import greeted_peer
 from sesameford.errors import PeerError
-from sesameford.messages import Envelope, Greeting, IncarnationBehind, Message, Outgoing
+from sesameford.messages import Envelope, Hello, Message, Outgoing, StaleIncarnation
 from sesameford.peer_state import (
     REDIAL_AFTER_SECONDS,
     PeerState,
@@ -368,7 +368,7 @@
             PeerError: It does not say who it is, or nobody may come unasked.
         """
         for message in envelope.messages:
-            if isinstance(message, Greeting) and self._settings.seeds:
+            if isinstance(message, Hello) and self._settings.seeds:
                 self.add(greeted_peer(envelope.sender_id, message))
                 return self._states[envelope.sender_id]
         raise PeerError(f"{envelope.sender_id!r} is no peer of this instance")
@@ -378,7 +378,7 @@
         if state is None:
             state = self._greeted(envelope)
         if envelope.incarnation < state.heard[0]:
-            behind = IncarnationBehind(state.heard[0])
+            behind = StaleIncarnation(state.heard[0])
             self.send(Outgoing(envelope.sender_id, behind, urgent=True))
             return
         new_state = take_envelope(state, envelope, self._incarnation, self._now())
--- a/sesameford/place_reports.py
+++ b/sesameford/place_reports.py
@@ -12,7 +12,12 @@
     pool_reports,
 )
 from sesameford.messages import Outgoing
-from sesameford.slot_messages import PoolReport, ShareReport, StandingRow, WantedRow
+from sesameford.slot_messages import (
+    LimitDemandRow,
+    PoolReport,
+    ShareReport,
+    VirtualTimeRow,
+)
 
 SERVED_THRESHOLD_QUANTA = 1.0
 _DEMANDS_REPORTED = 32
@@ -102,10 +107,10 @@
     return ShareReport(
         link.term,
         link.begin_report(now_seconds),
-        link.grants_seen,
+        link.acknowledged_grants,
         state.data_centre,
         full,
-        link.wants_full,
+        link.requests_full,
         rows,
         holdings,
         _wanted_rows(state, place, full),
@@ -159,13 +164,13 @@
     if full or compares:
         place.reported_times_at_seconds = now_seconds
     for pool, pool_state in state.pools.items():
-        virtual_times: tuple[StandingRow, ...] = ()
+        virtual_times: tuple[VirtualTimeRow, ...] = ()
         if full or compares:
             customers = pool_state.times.customers()
             if not full:
                 customers = _waiting_customers(state, pool)
             virtual_times = tuple(
-                StandingRow(
+                VirtualTimeRow(
                     customer,
                     round(pool_state.times.virtual_time(customer), 1),
                     state.origins.total(place.link.receiver_id, (pool, customer)),
@@ -224,7 +229,7 @@
 
 def _wanted_rows(
     state: AllocatorState, place: Place, full: bool
-) -> tuple[WantedRow, ...]:
+) -> tuple[LimitDemandRow, ...]:
     """Return the limited customers' demand here that changed much."""
     total: dict[str, float] = {}
     for link in state.routers():
@@ -235,7 +240,7 @@
 
 def wanted_rows(
     rates: dict[str, float], reported: dict[str, float], full: bool
-) -> tuple[WantedRow, ...]:
+) -> tuple[LimitDemandRow, ...]:
     """Return the demands that changed much, and note them as reported.
 
     Args:
@@ -252,5 +257,5 @@
         change = _WANTED_CHANGE_REPORTED * max(rate, known or 0.0)
         if full or known is None or abs(rate - known) > change:
             reported[customer] = rate
-            rows.append(WantedRow(customer, round(rate, 2)))
+            rows.append(LimitDemandRow(customer, round(rate, 2)))
     return tuple(rows)
--- a/sesameford/pool_allocation.py
+++ b/sesameford/pool_allocation.py
@@ -98,7 +98,7 @@
         return False
     link = state.links[holder.holder_id]
     return not any(
-        sequence > link.grants_seen and state.pool_of_target(target_id) == pool
+        sequence > link.acknowledged_grants and state.pool_of_target(target_id) == pool
         for target_id, sequence in link.granted_in.items()
     )
 
--- a/sesameford/router_reports.py
+++ b/sesameford/router_reports.py
@@ -36,7 +36,7 @@
         or _demand_is_urgent(state, link, demands)
         or link.full_due
         or link.is_pressed(now_seconds)
-        or link.wants_full
+        or link.requests_full
     )
     if not urgent and since < HEARTBEAT_SECONDS:
         return None
@@ -51,10 +51,10 @@
     return ShareReport(
         link.term,
         link.begin_report(now_seconds),
-        link.grants_seen,
+        link.acknowledged_grants,
         "",
         full,
-        link.wants_full,
+        link.requests_full,
         tuple(pools.values()),
         holdings,
         wanted_rows(
--- a/sesameford/slot_messages.py
+++ b/sesameford/slot_messages.py
@@ -28,7 +28,7 @@
     running: int
 
 
-class StandingRow(Struct, frozen=True, array_like=True):
+class VirtualTimeRow(Struct, frozen=True, array_like=True):
     """A customer's virtual time, and what of the receiver's service is in it."""
 
     customer_id: str
@@ -48,17 +48,17 @@
     served: tuple[ServedRow, ...] = ()
     demands: tuple[DemandRow, ...] = ()
     slots: int = 0
-    virtual_times: tuple[StandingRow, ...] = ()
+    virtual_times: tuple[VirtualTimeRow, ...] = ()
 
 
-class WantedRow(Struct, frozen=True, array_like=True):
+class LimitDemandRow(Struct, frozen=True, array_like=True):
     """How fast requests of a customer with limits enter, for splitting them."""
 
     customer_id: str
     requests_per_second: float
 
 
-class PaceRow(Struct, frozen=True, array_like=True):
+class CompletionTotalsRow(Struct, frozen=True, array_like=True):
     """Completions on a target since the term began, for its window."""
 
     target_id: str
@@ -72,20 +72,20 @@
 
     ``term`` grows whenever the sender starts anew with this receiver;
     ``sequence`` counts within it. ``full`` says that rows left out are zero.
-    ``grants_seen`` is the last ``SlotGrants`` applied without a gap.
+    ``acknowledged_grants`` is the last ``SlotGrants`` applied without a gap.
     ``data_centre`` is set by an allocator that reports for its whole place.
     """
 
     term: int
     sequence: int
-    grants_seen: int
+    acknowledged_grants: int
     data_centre: str = ""
     full: bool = False
-    wants_full: bool = False
+    requests_full: bool = False
     pools: tuple[PoolReport, ...] = ()
     holdings: tuple[HoldingRow, ...] = ()
-    wanted: tuple[WantedRow, ...] = ()
-    paces: tuple[PaceRow, ...] = ()
+    wanted: tuple[LimitDemandRow, ...] = ()
+    paces: tuple[CompletionTotalsRow, ...] = ()
 
 
 class GrantRow(Struct, frozen=True, array_like=True):
@@ -98,13 +98,13 @@
     slots: int
 
 
-class PoolNews(Struct, frozen=True, array_like=True):
+class PoolUpdate(Struct, frozen=True, array_like=True):
     """Whether work waits for slots in a pool, and the floor of virtual times."""
 
     pool: str
     contended: bool
     floor_virtual_time: float | None
-    standings: tuple[StandingRow, ...] = ()
+    virtual_times: tuple[VirtualTimeRow, ...] = ()
 
 
 class LimitShareRow(Struct, frozen=True, array_like=True):
@@ -118,15 +118,15 @@
     """An allocator's answer to a report: renewal, grants and news.
 
     The receiver's lease on all that it holds runs from when it sent the report
-    ``report_seen``, so that neither delay nor one-way loss can stretch it.
+    ``acknowledged_report``, so that neither delay nor one-way loss can stretch it.
     """
 
     term: int
     sequence: int
-    report_seen: int
+    acknowledged_report: int
     full: bool = False
-    wants_full: bool = False
+    requests_full: bool = False
     grants: tuple[GrantRow, ...] = ()
     recalls: tuple[GrantRow, ...] = ()
-    pools: tuple[PoolNews, ...] = ()
+    pools: tuple[PoolUpdate, ...] = ()
     limits: tuple[LimitShareRow, ...] = ()
--- a/sesameford/suspects.py
+++ b/sesameford/suspects.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, replace
 from enum import StrEnum
 
-from sesameford.messages import SuspectNews
+from sesameford.messages import SuspectUpdate
 
 MAX_SUSPECTS = 4096
 FORGET_AFTER_SECONDS = 86_400.0
@@ -100,7 +100,7 @@
         if row is not None and row.open_deaths:
             self._merge(digest, frozenset(), row.deaths, now_seconds)
 
-    def received(self, news: SuspectNews, now_seconds: float) -> None:
+    def received(self, news: SuspectUpdate, now_seconds: float) -> None:
         """Merge what another router knows."""
         deaths = frozenset(news.deaths)
         cleared = deaths if news.cleared else frozenset()
@@ -139,9 +139,9 @@
         """Return how many bodies have deaths that no completion cleared."""
         return sum(1 for row in self._rows.values() if row.open_deaths)
 
-    def news(self, now_seconds: float) -> Sequence[SuspectNews]:
+    def news(self, now_seconds: float) -> Sequence[SuspectUpdate]:
         """Return what other routers are to hear now; advances the repeats."""
-        messages: list[SuspectNews] = []
+        messages: list[SuspectUpdate] = []
         for digest, row in list(self._rows.items()):
             if row.news_left == 0 or now_seconds < row.news_at_seconds:
                 continue
@@ -222,12 +222,12 @@
     return f"{target_id}/{incarnation}"
 
 
-def _news_of(row: Suspect) -> list[SuspectNews]:
+def _news_of(row: Suspect) -> list[SuspectUpdate]:
     messages = []
     if row.cleared_deaths:
         cleared = tuple(sorted(row.cleared_deaths))
-        messages.append(SuspectNews(row.body_digest, cleared, cleared=True))
+        messages.append(SuspectUpdate(row.body_digest, cleared, cleared=True))
     if row.open_deaths:
         opened = tuple(sorted(row.open_deaths))
-        messages.append(SuspectNews(row.body_digest, opened, cleared=False))
+        messages.append(SuspectUpdate(row.body_digest, opened, cleared=False))
     return messages
--- a/sesameford/target_replication.py
+++ b/sesameford/target_replication.py
@@ -15,14 +15,14 @@
 from msgspec.structs import replace as replace_fields
 
 from sesameford.messages import (
+    LeaseAttestation,
+    LeaseAttestations,
     Outgoing,
-    TargetNews,
-    TargetRenewed,
+    TargetAnnouncement,
+    TargetRenewal,
     TargetRow,
     TargetRows,
-    TargetsVouched,
-    TargetsWanted,
-    Vouch,
+    TargetRowsRequest,
 )
 from sesameford.targets import (
     KnownTarget,
@@ -91,7 +91,7 @@
         """Take the hub that the keeping is left to, None where there is none."""
         self._hub_id = hub_id
 
-    def announced(self, news: TargetNews, now_seconds: float) -> bool:
+    def announced(self, news: TargetAnnouncement, now_seconds: float) -> bool:
         """Take an announcement that a target made here or another passed on.
 
         Returns:
@@ -102,8 +102,8 @@
         ):
             return False
         known = self._registry.get(news.target_id)
-        keeper_id = self._keeper_of(known, news, now_seconds)
-        if keeper_id == self._instance_id:
+        lease_holder_id = self._lease_holder_of(known, news, now_seconds)
+        if lease_holder_id == self._instance_id:
             self._keep(known, news, now_seconds)
             return True
         if known is not None and known.target.incarnation == news.incarnation:
@@ -112,7 +112,7 @@
             sequence = news.announcement_sequence
             noted = replace(known, announcement_sequence=sequence)
             self._registry.put(noted, now_seconds)
-        self._pass_to_keeper(keeper_id, known, news)
+        self._pass_to_lease_holder(lease_holder_id, known, news)
         return True
 
     def left(
@@ -139,14 +139,14 @@
         return True
 
     def renewed(
-        self, sender_id: str, message: TargetRenewed, now_seconds: float
+        self, sender_id: str, message: TargetRenewal, now_seconds: float
     ) -> None:
         """Take, as the keeper, an announcement that was made elsewhere."""
         known = self._registry.get(message.target_id)
         if known is None or known.target.incarnation != message.incarnation:
             # Short news of a target that a keeper restarted empty has lost: left
             # alone, the target would announce itself in vain from now on.
-            wanted = TargetsWanted(self._instance_id)
+            wanted = TargetRowsRequest(self._instance_id)
             self._outgoing.append(Outgoing(sender_id, wanted))
             return
         news = replace_fields(
@@ -162,8 +162,8 @@
         Returns:
             Whether it was news here.
         """
-        known = self._registry.get(row.news.target_id)
-        stamp = (row.news.incarnation, row.version, row.keeper_id)
+        known = self._registry.get(row.announcement.target_id)
+        stamp = (row.announcement.incarnation, row.version, row.lease_holder_id)
         if known is not None and stamp <= known.stamp:
             # The sender may be a hub that restarted empty and took the row of an
             # instance that was behind. Left with it, neither would ever accept the
@@ -172,44 +172,53 @@
                 behind = Outgoing(sender_id, _row_of(known, now_seconds))
                 self._outgoing.append(behind)
             return False
-        sequence = row.news.announcement_sequence
-        if known is not None and known.target.incarnation == row.news.incarnation:
+        sequence = row.announcement.announcement_sequence
+        if (
+            known is not None
+            and known.target.incarnation == row.announcement.incarnation
+        ):
             sequence = max(sequence, known.announcement_sequence)
-        lease_seconds = min(row.news.lease_remaining_seconds, VOUCHED_LEASE_SECONDS)
-        news = replace_fields(row.news, lease_remaining_seconds=lease_seconds)
+        lease_seconds = min(
+            row.announcement.lease_remaining_seconds, VOUCHED_LEASE_SECONDS
+        )
+        news = replace_fields(row.announcement, lease_remaining_seconds=lease_seconds)
         target = target_of_news(news, now_seconds)
-        heard = KnownTarget(target, sequence, row.version, row.keeper_id, row.is_lapsed)
+        heard = KnownTarget(
+            target, sequence, row.version, row.lease_holder_id, row.is_lapsed
+        )
         self._registry.put(heard, now_seconds)
-        self._word_at_seconds[row.keeper_id] = now_seconds
+        self._word_at_seconds[row.lease_holder_id] = now_seconds
         if self._passes_on:
             self._send_row(self._registry.get(target.target_id), now_seconds)
         return True
 
     def vouched(
-        self, sender_id: str, message: TargetsVouched, now_seconds: float
+        self, sender_id: str, message: LeaseAttestations, now_seconds: float
     ) -> None:
         """Take keepers' words: renew their leases, or ask where rows differ."""
-        for vouch in message.vouches:
-            if vouch.keeper_id == self._instance_id:
+        for vouch in message.attestations:
+            if vouch.lease_holder_id == self._instance_id:
                 continue
             given_at_seconds = now_seconds - vouch.age_milliseconds / 1000
-            self._word_at_seconds[vouch.keeper_id] = given_at_seconds
-            if vouch.digest == self._registry.digest(vouch.keeper_id):
+            self._word_at_seconds[vouch.lease_holder_id] = given_at_seconds
+            if vouch.digest == self._registry.digest(vouch.lease_holder_id):
                 self._renew(vouch, given_at_seconds)
-            elif self._may_ask(vouch.keeper_id, now_seconds):
-                wanted = TargetsWanted(vouch.keeper_id)
+            elif self._may_ask(vouch.lease_holder_id, now_seconds):
+                wanted = TargetRowsRequest(vouch.lease_holder_id)
                 self._outgoing.append(Outgoing(sender_id, wanted))
 
     def wanted(
-        self, sender_id: str, message: TargetsWanted, now_seconds: float
+        self, sender_id: str, message: TargetRowsRequest, now_seconds: float
     ) -> None:
         """Send all rows of a keeper to an instance that lacks some."""
         rows = tuple(
             _row_of(known, now_seconds)
             for known in self._registry.rows()
-            if known.keeper_id == message.keeper_id
+            if known.lease_holder_id == message.lease_holder_id
+        )
+        self._outgoing.append(
+            Outgoing(sender_id, TargetRows(message.lease_holder_id, rows))
         )
-        self._outgoing.append(Outgoing(sender_id, TargetRows(message.keeper_id, rows)))
 
     def rows_heard(
         self, sender_id: str, message: TargetRows, now_seconds: float
@@ -222,13 +231,13 @@
         """
         for row in message.rows:
             self.row_heard(sender_id, row, now_seconds)
-        if message.keeper_id == self._instance_id:
+        if message.lease_holder_id == self._instance_id:
             return
-        named = {row.news.target_id for row in message.rows}
+        named = {row.announcement.target_id for row in message.rows}
         for known in self._registry.rows():
             is_dropped = known.target.target_id not in named
-            if known.keeper_id == message.keeper_id and is_dropped:
-                self._registry.put(replace(known, keeper_id=""), now_seconds)
+            if known.lease_holder_id == message.lease_holder_id and is_dropped:
+                self._registry.put(replace(known, lease_holder_id=""), now_seconds)
 
     def outgoing(self, now_seconds: float) -> Sequence[Outgoing]:
         """Return what is due: changes, questions, and now and then a word."""
@@ -237,12 +246,12 @@
             self._next_vouch_seconds = now_seconds + VOUCH_SECONDS
             vouches = self._vouches(now_seconds)
             if vouches:
-                self._outgoing.append(Outgoing(None, TargetsVouched(vouches)))
+                self._outgoing.append(Outgoing(None, LeaseAttestations(vouches)))
         due, self._outgoing = self._outgoing, []
         return due
 
-    def _keeper_of(
-        self, known: KnownTarget | None, news: TargetNews, now_seconds: float
+    def _lease_holder_of(
+        self, known: KnownTarget | None, news: TargetAnnouncement, now_seconds: float
     ) -> str:
         """Return who is to keep a target that announces itself here."""
         if self._hub_id is not None:
@@ -252,36 +261,36 @@
             return self._instance_id
         # An instance that knew of no hub when the target came keeps it until a hub
         # hears of it: two that each leave it to the other would both let it lapse.
-        if self._passes_on and known.keeper_id not in self._hub_ids:
+        if self._passes_on and known.lease_holder_id not in self._hub_ids:
             return self._instance_id
         # A keeper that died or is cut off would go on getting the announcements,
         # and the target, though it lives, would get no work. Its silence shows it.
-        word_at_seconds = self._word_at_seconds.get(known.keeper_id, -inf)
+        word_at_seconds = self._word_at_seconds.get(known.lease_holder_id, -inf)
         if now_seconds - word_at_seconds < KEEPER_SILENT_SECONDS:
-            return known.keeper_id
+            return known.lease_holder_id
         return self._instance_id
 
-    def _pass_to_keeper(
-        self, keeper_id: str, known: KnownTarget | None, news: TargetNews
+    def _pass_to_lease_holder(
+        self, lease_holder_id: str, known: KnownTarget | None, news: TargetAnnouncement
     ) -> None:
         """Send an announcement to the keeper, in short where nothing changed."""
-        message: TargetNews | TargetRenewed = news
-        is_kept_there = known is not None and known.keeper_id == keeper_id
+        message: TargetAnnouncement | TargetRenewal = news
+        is_kept_there = known is not None and known.lease_holder_id == lease_holder_id
         if known is not None and is_kept_there and _same(known, news):
-            message = TargetRenewed(
+            message = TargetRenewal(
                 news.target_id,
                 news.incarnation,
                 news.announcement_sequence,
                 news.lease_remaining_seconds,
             )
-        self._outgoing.append(Outgoing(keeper_id, message, urgent=known is None))
+        self._outgoing.append(Outgoing(lease_holder_id, message, urgent=known is None))
 
     def _keep(
-        self, known: KnownTarget | None, news: TargetNews, now_seconds: float
+        self, known: KnownTarget | None, news: TargetAnnouncement, now_seconds: float
     ) -> None:
         """Hold a target's lease here, and tell all where something changed."""
         target = target_of_news(news, now_seconds)
-        is_kept_here = known is not None and known.keeper_id == self._instance_id
+        is_kept_here = known is not None and known.lease_holder_id == self._instance_id
         version = max(known.version if known is not None else 0, self._first_version)
         is_change = (
             known is None
@@ -304,7 +313,7 @@
         if known is not None:
             row = _row_of(known, now_seconds)
             self._outgoing.append(
-                Outgoing(None, row, urgent=row.news.leaving or row.is_lapsed)
+                Outgoing(None, row, urgent=row.announcement.leaving or row.is_lapsed)
             )
 
     def _drop_lapsed(self, now_seconds: float) -> None:
@@ -314,7 +323,7 @@
         as the rows agree, although it has been silent: so its end is a change.
         """
         for known in self._registry.rows():
-            is_kept_here = known.keeper_id == self._instance_id
+            is_kept_here = known.lease_holder_id == self._instance_id
             is_gone = known.target.leaving or known.is_lapsed
             if is_kept_here and not is_gone:
                 if known.target.lease_expires_at_seconds > now_seconds:
@@ -323,47 +332,53 @@
                 self._registry.put(row, now_seconds)
                 self._send_row(row, now_seconds)
 
-    def _renew(self, vouch: Vouch, given_at_seconds: float) -> None:
+    def _renew(self, vouch: LeaseAttestation, given_at_seconds: float) -> None:
         """Let the leases of a keeper's targets run on from its word."""
-        heard = self._heard.get(vouch.keeper_id)
+        heard = self._heard.get(vouch.lease_holder_id)
         if heard is None or heard.given_at_seconds < given_at_seconds:
-            self._heard[vouch.keeper_id] = _HeardVouch(vouch.digest, given_at_seconds)
+            self._heard[vouch.lease_holder_id] = _HeardVouch(
+                vouch.digest, given_at_seconds
+            )
         until_seconds = given_at_seconds + VOUCHED_LEASE_SECONDS
-        self._registry.renew_kept_by(vouch.keeper_id, until_seconds)
+        self._registry.renew_kept_by(vouch.lease_holder_id, until_seconds)
 
-    def _may_ask(self, keeper_id: str, now_seconds: float) -> bool:
+    def _may_ask(self, lease_holder_id: str, now_seconds: float) -> bool:
         """Return whether it is time to ask for a keeper's rows, again or first."""
-        asked_seconds = self._asked.get(keeper_id)
+        asked_seconds = self._asked.get(lease_holder_id)
         if (
             asked_seconds is not None
             and now_seconds - asked_seconds < WANTED_AGAIN_SECONDS
         ):
             return False
-        self._asked[keeper_id] = now_seconds
+        self._asked[lease_holder_id] = now_seconds
         return True
 
-    def _vouches(self, now_seconds: float) -> tuple[Vouch, ...]:
+    def _vouches(self, now_seconds: float) -> tuple[LeaseAttestation, ...]:
         """Return this keeper's word, and on a hub those of others that are fresh."""
         vouches = []
-        if any(k.keeper_id == self._instance_id for k in self._registry.rows()):
+        if any(k.lease_holder_id == self._instance_id for k in self._registry.rows()):
             digest = self._registry.digest(self._instance_id)
-            vouches.append(Vouch(self._instance_id, digest, 0))
+            vouches.append(LeaseAttestation(self._instance_id, digest, 0))
         if self._passes_on:
-            for keeper_id, heard in self._heard.items():
+            for lease_holder_id, heard in self._heard.items():
                 age_seconds = now_seconds - heard.given_at_seconds
                 if age_seconds < VOUCHED_LEASE_SECONDS:
                     age_milliseconds = ceil(age_seconds * 1000)
-                    vouches.append(Vouch(keeper_id, heard.digest, age_milliseconds))
+                    vouches.append(
+                        LeaseAttestation(
+                            lease_holder_id, heard.digest, age_milliseconds
+                        )
+                    )
         return tuple(vouches)
 
 
 def _row_of(known: KnownTarget, now_seconds: float) -> TargetRow:
     """Return the row that tells others of a target."""
     news = news_of_target(known, now_seconds)
-    return TargetRow(known.keeper_id, known.version, news, known.is_lapsed)
+    return TargetRow(known.lease_holder_id, known.version, news, known.is_lapsed)
 
 
-def _same(known: KnownTarget, news: TargetNews) -> bool:
+def _same(known: KnownTarget, news: TargetAnnouncement) -> bool:
     """Return whether an announcement says nothing but that the target lives on."""
     known_news = news_of_target(known, 0.0)
     return known_news == replace_fields(
--- a/sesameford/targets.py
+++ b/sesameford/targets.py
@@ -6,7 +6,7 @@
 from xxhash import xxh32_intdigest
 
 from sesameford.effective import TargetSettings
-from sesameford.messages import TargetNews
+from sesameford.messages import TargetAnnouncement
 from sesameford.tables import Table, Target, TargetKind
 from sesameford.target_health import TargetHealth, began, failed, is_held, proved
 
@@ -19,19 +19,19 @@
     """A target with what orders its news.
 
     ``announcement_sequence`` is the highest heard of its incarnation. ``version``
-    and ``keeper_id`` order what instances tell each other of it.
+    and ``lease_holder_id`` order what instances tell each other of it.
     """
 
     target: Target
     announcement_sequence: int
     version: int = 0
-    keeper_id: str = ""
+    lease_holder_id: str = ""
     is_lapsed: bool = False
 
     @property
     def stamp(self) -> tuple[int, int, str]:
         """Return what orders rows of one target."""
-        return self.target.incarnation, self.version, self.keeper_id
+        return self.target.incarnation, self.version, self.lease_holder_id
 
 
 class TargetRegistry:
@@ -39,7 +39,7 @@
 
     def __init__(self) -> None:
         self._known: Table[str, KnownTarget] = Table()
-        self._keeper_leases: dict[str, float] = {}
+        self._lease_holder_leases: dict[str, float] = {}
         self._digests: dict[str, int] = {}
         self._health: dict[str, TargetHealth] = {}
         self._on_replaced: Callable[[str, int, float], None] = lambda *_: None
@@ -84,16 +84,18 @@
             known.announcement_sequence,
         )
 
-    def renew_kept_by(self, keeper_id: str, expires_at_seconds: float) -> None:
+    def renew_kept_by(self, lease_holder_id: str, expires_at_seconds: float) -> None:
         """Let the leases of all of a keeper's targets run until a later time."""
-        present_seconds = self._keeper_leases.get(keeper_id, 0.0)
-        self._keeper_leases[keeper_id] = max(present_seconds, expires_at_seconds)
+        present_seconds = self._lease_holder_leases.get(lease_holder_id, 0.0)
+        self._lease_holder_leases[lease_holder_id] = max(
+            present_seconds, expires_at_seconds
+        )
 
     def expires_at_seconds(self, known: KnownTarget) -> float:
         """Return when a target's lease ends, its own or its keeper's word."""
         return max(
             known.target.lease_expires_at_seconds,
-            self._keeper_leases.get(known.keeper_id, 0.0),
+            self._lease_holder_leases.get(known.lease_holder_id, 0.0),
         )
 
     def is_live(self, known: KnownTarget, now_seconds: float) -> bool:
@@ -101,17 +103,17 @@
         is_gone = known.target.leaving or known.is_lapsed
         return not is_gone and self.expires_at_seconds(known) > now_seconds
 
-    def digest(self, keeper_id: str) -> int:
+    def digest(self, lease_holder_id: str) -> int:
         """Return the digest over the present versions of a keeper's targets."""
-        if keeper_id not in self._digests:
+        if lease_holder_id not in self._digests:
             digest = 0
             for known in self._known:
-                if known.keeper_id == keeper_id:
+                if known.lease_holder_id == lease_holder_id:
                     incarnation, version, _ = known.stamp
                     name = f"{known.target.target_id}/{incarnation}/{version}"
                     digest ^= xxh32_intdigest(name.encode())
-            self._digests[keeper_id] = digest
-        return self._digests[keeper_id]
+            self._digests[lease_holder_id] = digest
+        return self._digests[lease_holder_id]
 
     def usable(
         self,
@@ -180,7 +182,7 @@
         ]
 
 
-def target_of_news(news: TargetNews, now_seconds: float) -> Target:
+def target_of_news(news: TargetAnnouncement, now_seconds: float) -> Target:
     """Return the target that an announcement describes."""
     return Target(
         target_id=news.target_id,
@@ -197,10 +199,10 @@
     )
 
 
-def news_of_target(known: KnownTarget, now_seconds: float) -> TargetNews:
+def news_of_target(known: KnownTarget, now_seconds: float) -> TargetAnnouncement:
     """Return the announcement that describes what is known of a target."""
     target = known.target
-    return TargetNews(
+    return TargetAnnouncement(
         target_id=target.target_id,
         incarnation=target.incarnation,
         announcement_sequence=known.announcement_sequence,
--- a/sesameford/tree_changes.py
+++ b/sesameford/tree_changes.py
@@ -57,7 +57,7 @@
     digest: bytes
 
 
-class HistoryWanted(Struct, frozen=True, tag=True):
+class HistoryQuery(Struct, frozen=True, tag="HistoryWanted"):
     """Read the history below a revision through the log; it changes nothing."""
 
     before_revision: int
@@ -95,7 +95,7 @@
     at_seconds: float
 
 
-class DeclaredWanted(Struct, frozen=True, tag=True):
+class DeclaredVersionQuery(Struct, frozen=True, tag="DeclaredWanted"):
     """Agree on which version is the newest accepted one; it changes nothing."""
 
 
@@ -144,7 +144,7 @@
 
 
 Command = (
-    TreeChange | HistoryWanted | TreeDeclaration | DeclaredWanted | EvacuationOrder
+    TreeChange | HistoryQuery | TreeDeclaration | DeclaredVersionQuery | EvacuationOrder
 )
 
 _encoder = Encoder()
@@ -209,9 +209,9 @@
             decoded = _commands.decode(command)
         except (DecodeError, ValidationError, UnicodeDecodeError) as error:
             return _encoder.encode(self._answer(REFUSED, f"malformed: {error}"))
-        if isinstance(decoded, HistoryWanted):
+        if isinstance(decoded, HistoryQuery):
             return _encoder.encode(self.history(decoded.before_revision))
-        if isinstance(decoded, DeclaredWanted):
+        if isinstance(decoded, DeclaredVersionQuery):
             return _encoder.encode(self._answer(UNCHANGED))
         if isinstance(decoded, TreeDeclaration):
             return _encoder.encode(self._declare(decoded))
--- a/sesameford/tree_replication.py
+++ b/sesameford/tree_replication.py
@@ -14,10 +14,10 @@
 from sesameford.messages import (
     Message,
     Outgoing,
+    TreeRequest,
+    TreeSnapshot,
     TreeStepRow,
     TreeSteps,
-    TreeWanted,
-    TreeWhole,
 )
 from sesameford.tables import Instance
 from sesameford.tree import TreeDifference, read_node, tree_digest
@@ -110,9 +110,9 @@
         match message:
             case TreeSteps():
                 return self._received_steps(sender_id, message, peers)
-            case TreeWhole():
+            case TreeSnapshot():
                 self._received_whole(message)
-            case TreeWanted():
+            case TreeRequest():
                 return self._answer(sender_id, message, now_seconds)
         return ()
 
@@ -137,7 +137,7 @@
         asked = newer[self._asked_count % len(newer)]
         self._asked_count += 1
         self._asked_at_seconds = now_seconds
-        wanted = TreeWanted(self.store.revision, self._needs_whole)
+        wanted = TreeRequest(self.store.revision, self._needs_whole)
         return [Outgoing(asked.instance_id, wanted, urgent=True)]
 
     def is_ready(self, peers: Mapping[str, Instance], now_seconds: float) -> bool:
@@ -205,7 +205,7 @@
         near = [one.instance_id for one in peers.values() if not self._is_far(one)]
         return self._push(self.store.steps_after(before) or (), near)
 
-    def _received_whole(self, message: TreeWhole) -> None:
+    def _received_whole(self, message: TreeSnapshot) -> None:
         """Check a whole tree and take it, unless it is from the past."""
         if message.revision <= self.store.revision:
             return
@@ -243,7 +243,7 @@
         return [Outgoing(one, message, urgent=True) for one in receivers]
 
     def _answer(
-        self, sender_id: str, wanted: TreeWanted, now_seconds: float
+        self, sender_id: str, wanted: TreeRequest, now_seconds: float
     ) -> Sequence[Outgoing]:
         """Answer one who is behind, by steps if they are kept."""
         if wanted.revision >= self.store.revision:
@@ -263,7 +263,7 @@
         self._whole_sent_at_seconds[sender_id] = now_seconds
         store = self.store
         digest = store.digest.to_bytes(DIGEST_BYTES, "big")
-        whole = TreeWhole(store.revision, dict(store.declared.nodes), digest)
+        whole = TreeSnapshot(store.revision, dict(store.declared.nodes), digest)
         return [Outgoing(sender_id, whole, urgent=True)]
 
 
--- a/standins/engine_queue.py
+++ b/standins/engine_queue.py
@@ -8,7 +8,7 @@
 from sesameford.gateway.candidates import make_candidates
 from sesameford.load_messages import (
     FailingTarget,
-    PlaceLoad,
+    TargetLoad,
     TargetOutcomes,
     UsedParts,
 )
@@ -53,9 +53,9 @@
     def mean_wait_seconds(self, service: str, slots: int, now_seconds: float) -> float:
         return self._queue.wait_seconds
 
-    def loads(self, now_seconds: float) -> tuple[PlaceLoad, ...]:
+    def loads(self, now_seconds: float) -> tuple[TargetLoad, ...]:
         # It changes each time, so routers tell as often as they may.
-        return (PlaceLoad(1, 1, int(now_seconds * 1_000)),)
+        return (TargetLoad(1, 1, int(now_seconds * 1_000)),)
 
     def news(self) -> tuple[UsedParts, ...]:
         return ()
@@ -66,7 +66,7 @@
     def take_failing(self, rows: Iterable[FailingTarget]) -> None:
         pass
 
-    def take_others(self, loads: Iterable[PlaceLoad]) -> None:
+    def take_others(self, loads: Iterable[TargetLoad]) -> None:
         pass
 
     def has_room(self, *args: object) -> bool:
--- a/standins/virtual_cold.py
+++ b/standins/virtual_cold.py
@@ -15,7 +15,7 @@
 from sesameford.discovery.heartbeat_table import make_beat_table, short_name
 from sesameford.gateway.cold_permits import make_cold_permits
 from sesameford.gateway.cold_targets import make_cold_targets
-from sesameford.messages import BeatRow
+from sesameford.messages import HeartbeatRow
 from sesameford.settings import ColdBoundSettings
 from sesameford.tables import TargetState
 
@@ -117,7 +117,7 @@
 ) -> tuple[May, Callable[[float], None]]:
     """Return the way of the product, and what it does regularly."""
     replicas = [make_cold_permits(bound, data_centres) for _ in range(data_centres)]
-    row = BeatRow(TARGET, 1, "pool", "t:1", "a", 8, TargetState.READY, 60_000)
+    row = HeartbeatRow(TARGET, 1, "pool", "t:1", "a", 8, TargetState.READY, 60_000)
     table = make_beat_table()
     table.beat(row, 0.0)
     known = table.known[TARGET]
--- a/standins/virtual_engines.py
+++ b/standins/virtual_engines.py
@@ -21,7 +21,7 @@
 from sesameford.gateway.placement import Placement, make_placement
 from sesameford.gateway.target_record import Lease
 from sesameford.load_messages import FleetLoad, RouterLoad
-from sesameford.messages import BeatRow
+from sesameford.messages import HeartbeatRow
 from sesameford.tables import TargetState
 
 SERVICE = "pool"
@@ -156,7 +156,7 @@
             self._at(self.now_seconds + self.delay_seconds, hear)
 
     def _hear(self, router: Placement, fleet: FleetLoad) -> None:
-        router.take_others(fleet.places)
+        router.take_others(fleet.target_loads)
         router.take_used(fleet.used, {SERVICE: self.settings})
         router.take_failing(fleet.failing)
 
@@ -260,7 +260,7 @@
     table = make_beat_table()
     for number in range(engines):
         name = f"e{number}"
-        row = BeatRow(
+        row = HeartbeatRow(
             name, 1, SERVICE, f"{name}:1", "a", figures.slots, TargetState.READY
         )
         table.beat(row, 0.0)
--- a/standins/virtual_shares.py
+++ b/standins/virtual_shares.py
@@ -22,7 +22,7 @@
     FleetLoad,
     PartialLoad,
     RouterLoad,
-    RouterLoadEnds,
+    RouterLoadHandover,
 )
 from sesameford.messages import Message, Outgoing
 from sesameford.operators_http import digest_of_key
@@ -321,7 +321,7 @@
         sent, self._sent = self._sent, []
         for sender, outgoing in sent:
             receiver, message = str(outgoing.receiver_id), outgoing.message
-            if isinstance(message, RouterLoad | RouterLoadEnds):
+            if isinstance(message, RouterLoad | RouterLoadHandover):
                 if (self._numbers[sender], receiver) not in self.silent:
                     self._waiting[receiver].append((sender, message))
             elif isinstance(message, PartialLoad):
@@ -348,7 +348,7 @@
         for sender, message in self._waiting.pop(replica_id, []):
             if isinstance(message, RouterLoad):
                 replica.received(sender, message, self.now_seconds)
-            elif isinstance(message, RouterLoadEnds):
+            elif isinstance(message, RouterLoadHandover):
                 replica.ended(sender)
             elif isinstance(message, PartialLoad):
                 replica.received_partial(sender, message, self.now_seconds)
--- a/tests/callers_fixture.py
+++ b/tests/callers_fixture.py
@@ -11,7 +11,7 @@
 from sesameford.callers import CallersDeps, make_callers_app
 from sesameford.independent import make_independent_scheduler
 from sesameford.members import make_members
-from sesameford.messages import TargetNews
+from sesameford.messages import TargetAnnouncement
 from sesameford.metrics import Metrics
 from sesameford.relay import RelayDeps
 from sesameford.router import Router
@@ -88,7 +88,7 @@
 
     def announce(self, kind: TargetKind, name: str) -> None:
         url = str(self.targets.make_url("")).rstrip("/")
-        news = TargetNews(name, 1, 1, kind, (name,), url, "a", 8, 60.0)
+        news = TargetAnnouncement(name, 1, 1, kind, (name,), url, "a", 8, 60.0)
         spread = make_target_spread(self.router.registry, "e1", 1, False)
         spread.announced(news, monotonic())
         self.router.tick()
--- a/tests/faults_fixture.py
+++ b/tests/faults_fixture.py
@@ -18,7 +18,7 @@
 from sesameford.independent import make_independent_scheduler
 from sesameford.keyed import KeyedPorts, KeyedRequests
 from sesameford.members import make_members
-from sesameford.messages import SuspectNews, TargetNews
+from sesameford.messages import SuspectUpdate, TargetAnnouncement
 from sesameford.metrics import Metrics
 from sesameford.outcomes import Outcomes
 from sesameford.relay import RelayDeps
@@ -131,7 +131,7 @@
             self.outcomes.tick(frozenset(), monotonic())
 
     def announce(self, target, sequence=1):
-        news = TargetNews(
+        news = TargetAnnouncement(
             target.target_id,
             target.incarnation,
             sequence,
@@ -162,7 +162,7 @@
         self.deaths = Counter()
 
     def spread(self, outgoing):
-        if isinstance(outgoing.message, SuspectNews):
+        if isinstance(outgoing.message, SuspectUpdate):
             for router in self.routers:
                 router.outcomes.received(outgoing.message, monotonic())
 
--- a/tests/gateway_fixture.py
+++ b/tests/gateway_fixture.py
@@ -21,7 +21,7 @@
 from sesameford.gateway.serve import serve_call
 from sesameford.gateway.share_gate import make_share_gate
 from sesameford.http_ports import listen_calls, make_session
-from sesameford.messages import BeatRow
+from sesameford.messages import HeartbeatRow
 from sesameford.operators_http import digest_of_key
 from sesameford.settings import RetryBudgetSettings
 from sesameford.tables import TargetState
@@ -97,7 +97,7 @@
     servers = [make_platform_server(f"s{n}", fault) for n, fault in enumerate(faults)]
     for server in servers:
         await server.start()
-        row = BeatRow(
+        row = HeartbeatRow(
             server.target_id, 1, "pool", server.address, "a", 8, TargetState.READY
         )
         table.beat(row, monotonic())
--- a/tests/test_allocator.py
+++ b/tests/test_allocator.py
@@ -5,7 +5,7 @@
 from sesameford.allocator import Allocator
 from sesameford.effective import EffectiveTree
 from sesameford.links import LEASE_SECONDS
-from sesameford.slot_messages import PoolReport, ServedRow, ShareReport, StandingRow
+from sesameford.slot_messages import PoolReport, ServedRow, ShareReport, VirtualTimeRow
 
 
 @pytest.fixture
@@ -31,7 +31,7 @@
     allocator.take_report("a0", 1, greeting, 0.0)
     now_seconds = LEASE_SECONDS + 1.0
     # The other side knows c0 whole and of c1 only what was told at first.
-    rows = (StandingRow("c0", 100.0, 100.0), StandingRow("c1", 200.0, 200.0))
+    rows = (VirtualTimeRow("c0", 100.0, 100.0), VirtualTimeRow("c1", 200.0, 200.0))
     news = ShareReport(
         1, 2, 0, data_centre="a", pools=(PoolReport("m", virtual_times=rows),)
     )
@@ -45,7 +45,7 @@
     allocator.take_report("b1", 1, ShareReport(1, 1, 0, full=True, pools=own), 0.0)
     greeting = ShareReport(1, 1, 0, data_centre="a", full=True)
     allocator.take_report("a0", 1, greeting, 0.0)
-    rows = (StandingRow("c0", 100.0, 100.0), StandingRow("c1", 900.0, 700.0))
+    rows = (VirtualTimeRow("c0", 100.0, 100.0), VirtualTimeRow("c1", 900.0, 700.0))
     news = ShareReport(
         1, 2, 0, data_centre="a", pools=(PoolReport("m", virtual_times=rows),)
     )
--- a/tests/test_beat_table.py
+++ b/tests/test_beat_table.py
@@ -8,12 +8,12 @@
 from msgspec.structs import replace
 
 from sesameford.discovery.heartbeat_table import make_beat_table
-from sesameford.messages import BeatRow
+from sesameford.messages import HeartbeatRow
 from sesameford.tables import TargetState
 
 
 def row(name, sequence, state=TargetState.READY):
-    return BeatRow(name, sequence, "pool", f"{name}:1", "a", 8, state)
+    return HeartbeatRow(name, sequence, "pool", f"{name}:1", "a", 8, state)
 
 
 def test_a_late_heartbeat_does_not_bring_a_leaving_target_back():
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -8,11 +8,11 @@
     Claim,
     ClaimAnswer,
     ClaimOwner,
+    ClaimRelease,
     ClaimReply,
     ClaimsMachine,
     ClaimVerdict,
     Completion,
-    Release,
     TakeOver,
     decode_claim_reply,
     encode_claim_command,
@@ -63,11 +63,12 @@
     apply(machine, 1, claim())
     taken = apply(machine, 2, TakeOver("c", "k", 1, owner("r2", "y"), 0.0))
     assert (taken.verdict, taken.claim_index) == (ClaimVerdict.RUN, 2)
-    late = apply(machine, 3, Release("c", "k", 1, 0.0))
+    late = apply(machine, 3, ClaimRelease("c", "k", 1, 0.0))
     assert late.verdict is ClaimVerdict.SUPERSEDED
     apply(machine, 4, Completion("c", "k", 2, None, 0.0, certain=False))
     assert (
-        apply(machine, 5, Release("c", "k", 2, 0.0)).verdict is ClaimVerdict.SUPERSEDED
+        apply(machine, 5, ClaimRelease("c", "k", 2, 0.0)).verdict
+        is ClaimVerdict.SUPERSEDED
     )
     told = apply(machine, 6, claim(request="r3"))
     assert told.verdict is ClaimVerdict.MAY_HAVE_RUN
@@ -147,7 +148,7 @@
         st.booleans(),
     ),
     st.builds(
-        Release,
+        ClaimRelease,
         st.sampled_from("cd"),
         st.sampled_from("ab"),
         st.integers(1, 30),
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -6,18 +6,18 @@
 
 from sesameford.codec import decode_envelope, encode_envelope
 from sesameford.errors import PeerError
-from sesameford.load_messages import CustomerRates, PartialLoad, PlaceLoad, RouterLoad
+from sesameford.load_messages import CustomerRates, PartialLoad, RouterLoad, TargetLoad
 from sesameford.messages import (
     Envelope,
     Heartbeat,
+    LeaseAttestation,
+    LeaseAttestations,
     MemberRow,
-    MembersNews,
+    MembersUpdate,
     ModelUse,
-    Routed,
-    TargetNews,
+    RelayedMessage,
+    TargetAnnouncement,
     TargetRow,
-    TargetsVouched,
-    Vouch,
 )
 from sesameford.slot_messages import PoolReport, ServedRow, ShareReport
 from sesameford.tables import InstanceState, TargetKind
@@ -44,20 +44,22 @@
 
 MESSAGES = (
     Heartbeat("a", InstanceState.READY, 7),
-    MembersNews(
+    MembersUpdate(
         (MemberRow("e2", 1, 2, 3, False, "b", InstanceState.DRAINING, 4, True),), True
     ),
-    Routed("e1", 2, "e3", 3, b"payload"),
+    RelayedMessage("e1", 2, "e3", 3, b"payload"),
     TargetRow(
         "e1",
         5,
-        TargetNews("t", 1, 2, TargetKind.MODEL, ("m",), "http://t", "a", 8, 2.5),
+        TargetAnnouncement(
+            "t", 1, 2, TargetKind.MODEL, ("m",), "http://t", "a", 8, 2.5
+        ),
     ),
-    TargetsVouched((Vouch("e1", 2**31, 250),)),
+    LeaseAttestations((LeaseAttestation("e1", 2**31, 250),)),
     ShareReport(1, 2, 3, "a", False, False, (PoolReport("m", (ServedRow("c", 1.5),)),)),
     ModelUse("t", "m", 4, 0),
-    PartialLoad(7, (PlaceLoad(1, 2, 3),), (CustomerRates("c", 5, 2),), 0.5, 9.0),
-    RouterLoad((PlaceLoad(1, 2, 3),), (CustomerRates("c", 5, 2),), 0.5, 9.0),
+    PartialLoad(7, (TargetLoad(1, 2, 3),), (CustomerRates("c", 5, 2),), 0.5, 9.0),
+    RouterLoad((TargetLoad(1, 2, 3),), (CustomerRates("c", 5, 2),), 0.5, 9.0),
 )
 ENVELOPES = st.builds(
     Envelope,
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -20,7 +20,7 @@
 )
 from sesameford.gateway.cold_targets import PERMIT_SECONDS
 from sesameford.gateway.placement import make_placement
-from sesameford.messages import BeatRow
+from sesameford.messages import HeartbeatRow
 from sesameford.settings import ColdBoundSettings
 from sesameford.tables import TargetState
 
@@ -36,7 +36,7 @@
 
 def row(name, sequence=1, cold_milliseconds=0, place="a"):
     ready = TargetState.READY
-    return BeatRow(
+    return HeartbeatRow(
         name, sequence, "pool", f"{name}:1", place, 32, ready, cold_milliseconds
     )
 
--- a/tests/test_declarations.py
+++ b/tests/test_declarations.py
@@ -10,7 +10,7 @@
     CONFLICT,
     REFUSED,
     UNCHANGED,
-    DeclaredWanted,
+    DeclaredVersionQuery,
     TreeDeclaration,
     TreeMachine,
     decode_answer,
@@ -118,9 +118,9 @@
 
 def test_reading_tells_the_newest_version():
     machine = make_machine()
-    assert apply(machine, DeclaredWanted()).version == 0
+    assert apply(machine, DeclaredVersionQuery()).version == 0
     apply(machine, declaration(4))
-    assert apply(machine, DeclaredWanted()).version == 4
+    assert apply(machine, DeclaredVersionQuery()).version == 4
 
 
 def test_bytes_that_are_no_command_are_refused():
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -14,7 +14,7 @@
 from sesameford.gateway.placement import make_placement
 from sesameford.gateway.shares import make_share_table
 from sesameford.load_messages import CustomerRates, PartialLoad
-from sesameford.messages import BeatRow
+from sesameford.messages import HeartbeatRow
 from sesameford.tables import TargetState
 from sesameford.tree import difference, effective_tree, parse_tree
 from sesameford.tree_changes import (
@@ -63,7 +63,7 @@
         for number in range(2):
             name = f"{place}{number}"
             ready = TargetState.READY
-            row = BeatRow(name, 1, "pool", f"{name}:1", place, 32, ready)
+            row = HeartbeatRow(name, 1, "pool", f"{name}:1", place, 32, ready)
             table.beat(row, 0.0)
     return make_placement(table, "a", 1000.0, Random(seed))
 
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -11,8 +11,8 @@
     FencingMachine,
     Granted,
     Held,
+    LeaseRelease,
     Malformed,
-    Release,
     Renew,
     decode_answer,
     encode_command,
@@ -48,7 +48,7 @@
     assert taken.taken_over
     assert taken.lease.number > first.number
     assert log.apply(Renew("l", "a", first.number)) == Ended()
-    log.apply(Release("l", "a", first.number))
+    log.apply(LeaseRelease("l", "a", first.number))
     assert log.machine.lease("l") == taken.lease
 
 
--- a/tests/test_fleet_sums.py
+++ b/tests/test_fleet_sums.py
@@ -11,8 +11,8 @@
     CustomerRates,
     FleetLoad,
     PartialLoad,
-    PlaceLoad,
     RouterLoad,
+    TargetLoad,
     UsedParts,
 )
 
@@ -43,14 +43,14 @@
 def test_a_router_is_sent_the_work_of_all_others_and_not_its_own():
     answers = added_up(
         {
-            "r1": (PlaceLoad(1, 5, 700), PlaceLoad(2, 1, 0)),
-            "r2": (PlaceLoad(1, 2, 30),),
+            "r1": (TargetLoad(1, 5, 700), TargetLoad(2, 1, 0)),
+            "r2": (TargetLoad(1, 2, 30),),
             "r3": (),
         }
     )
-    assert answers["r1"].places == (PlaceLoad(1, 2, 30),)
-    assert answers["r2"].places == (PlaceLoad(1, 5, 700), PlaceLoad(2, 1, 0))
-    assert answers["r3"].places == (PlaceLoad(1, 7, 730), PlaceLoad(2, 1, 0))
+    assert answers["r1"].target_loads == (TargetLoad(1, 2, 30),)
+    assert answers["r2"].target_loads == (TargetLoad(1, 5, 700), TargetLoad(2, 1, 0))
+    assert answers["r3"].target_loads == (TargetLoad(1, 7, 730), TargetLoad(2, 1, 0))
     assert answers["r1"].routers == answers["r1"].known_routers == 3
 
 
@@ -61,10 +61,10 @@
     the targets idle.
     """
     sums = sums_of()
-    sums.received("dead", RouterLoad((PlaceLoad(1, 50, 9_000),)), 0.0)
+    sums.received("dead", RouterLoad((TargetLoad(1, 50, 9_000),)), 0.0)
     later = REPORT_VALID_SECONDS + 0.1
     sums.received("r1", RouterLoad(()), later)
-    assert sent(sums, later)["r1"].places == ()
+    assert sent(sums, later)["r1"].target_loads == ()
 
 
 def test_a_router_that_reports_elsewhere_is_counted_here_no_more():
@@ -75,7 +75,7 @@
     """
     sums = sums_of()
     customers = (CustomerRates("a", 9_000),)
-    sums.received("r1", RouterLoad((PlaceLoad(1, 50, 9_000),), customers), 1.0)
+    sums.received("r1", RouterLoad((TargetLoad(1, 50, 9_000),), customers), 1.0)
     sums.received("r2", RouterLoad(()), 1.0)
     sums.ended("r1")
     assert sent(sums, 1.0) == {"r2": FleetLoad((), 1, (), (), False, 1, 1)}
@@ -136,11 +136,11 @@
     sums = sums_of(OTHERS, routers=3)
     used = (UsedParts(7, (), 50),)
     customers = (CustomerRates("a", 9_000, 4_000),)
-    load = RouterLoad((PlaceLoad(1, 2, 30),), customers, 0.25, 6_000.0, used)
+    load = RouterLoad((TargetLoad(1, 2, 30),), customers, 0.25, 6_000.0, used)
     sums.received("r1", load, 1.0)
     sums.received("r2", load, 1.0)
     sums.received_partial("b", PartialLoad(), 1.0)
-    places, both = (PlaceLoad(1, 4, 60),), (CustomerRates("a", 18_000, 8_000),)
+    places, both = (TargetLoad(1, 4, 60),), (CustomerRates("a", 18_000, 8_000),)
     whole = PartialLoad(2, places, both, 0.25, 12_000.0, (*used, *used))
     answers = sent(sums, 1.0)
     assert answers["b"] == whole
@@ -155,14 +155,14 @@
     alone, and engines that the other half has filled would look idle.
     """
     sums = sums_of(OTHERS, routers=3)
-    mine = RouterLoad((PlaceLoad(1, 2, 30),), (CustomerRates("a", 80_000),))
+    mine = RouterLoad((TargetLoad(1, 2, 30),), (CustomerRates("a", 80_000),))
     sums.received("r1", mine, 1.0)
     used = (UsedParts(7, (), 50),)
     customers = (CustomerRates("a", 720_000), CustomerRates("b", 1_000))
-    other = PartialLoad(2, (PlaceLoad(1, 5, 500),), customers, 0.0, 0.0, used)
+    other = PartialLoad(2, (TargetLoad(1, 5, 500),), customers, 0.0, 0.0, used)
     sums.received_partial("b", other, 1.0)
     answer = sent(sums, 1.0)["r1"]
-    assert answer.places == (PlaceLoad(1, 5, 500),)
+    assert answer.target_loads == (TargetLoad(1, 5, 500),)
     assert answer.known_routers == 3
     assert answer.used == used
     (share,) = answer.shares
@@ -172,10 +172,10 @@
 
 def test_sums_of_a_replica_that_fell_silent_are_dropped():
     sums = sums_of(OTHERS, routers=3)
-    sums.received_partial("b", PartialLoad(2, (PlaceLoad(1, 5, 500),)), 1.0)
+    sums.received_partial("b", PartialLoad(2, (TargetLoad(1, 5, 500),)), 1.0)
     later = 1.1 + PARTIAL_VALID_SECONDS
     sums.received("r1", RouterLoad(()), later)
-    assert sent(sums, later)["r1"].places == ()
+    assert sent(sums, later)["r1"].target_loads == ()
 
 
 def test_sums_go_no_more_to_a_replica_that_fell_silent():
@@ -183,10 +183,10 @@
     sums = sums_of(OTHERS, routers=2)
     sums.received_partial("b", PartialLoad(), 1.0)
     later = 1.1 + PARTIAL_VALID_SECONDS
-    sums.received("r1", RouterLoad((PlaceLoad(1, 2, 30),)), later)
+    sums.received("r1", RouterLoad((TargetLoad(1, 2, 30),)), later)
     assert sent(sums, later)["b"] == PartialLoad()
     sums.received_partial("b", PartialLoad(), later + 0.1)
-    assert sent(sums, later + 0.3)["b"] == PartialLoad(1, (PlaceLoad(1, 2, 30),))
+    assert sent(sums, later + 0.3)["b"] == PartialLoad(1, (TargetLoad(1, 2, 30),))
 
 
 def test_what_is_not_exchanged_is_not_kept():
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -11,7 +11,7 @@
 from sesameford.discovery.roster import FORGOTTEN_SECONDS, make_roster
 from sesameford.log_messages import Command
 from sesameford.log_state import Role
-from sesameford.messages import Greeting, ReplicaRow
+from sesameford.messages import Hello, ReplicaRow
 from sesameford.settings import Peer
 from tests.seed_world import SEEDS, SeedWorld
 
@@ -151,7 +151,7 @@
     own = Peer("r9", "a", "r9:1", True)
     roster = make_roster(own, SEEDS, False)
     rows = (ReplicaRow("r7", "a", "r7:1"), ReplicaRow("r9", "a", "r9:1"))
-    greeting = Greeting("r0:1", "a", True, False, rows)
+    greeting = Hello("r0:1", "a", True, False, rows)
     found = {one.instance_id for one in roster.greeted("r0", greeting, 0.0)}
     assert found == {"r0", "r7"}
     assert roster.forgotten(FORGOTTEN_SECONDS + 1) == ["r0"]
@@ -258,7 +258,7 @@
     roster = make_roster(own, (), False)
     greetings = {"r1": False, "r2": False, "replica-2": True}
     for name, has_disk in greetings.items():
-        roster.greeted(name, Greeting("127.0.0.1:2", "a", has_disk, False, ()), 1.0)
+        roster.greeted(name, Hello("127.0.0.1:2", "a", has_disk, False, ()), 1.0)
     assert roster.live_routers(2.0, 1.5) == 2
     roster.heard("r1", 3.0)
     assert roster.live_routers(3.5, 1.5) == 1
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -9,7 +9,7 @@
 from sesameford.gateway.calls import Prompt, PromptPart
 from sesameford.gateway.candidates import Nowhere
 from sesameford.gateway.placement import make_placement
-from sesameford.messages import BeatRow
+from sesameford.messages import HeartbeatRow
 from sesameford.operators_http import digest_of_key
 from sesameford.tables import TargetState
 from sesameford.tree import effective_tree, parse_tree
@@ -40,7 +40,7 @@
         for number in range(2):
             name = f"{place}{number}"
             ready = TargetState.READY
-            table.beat(BeatRow(name, 1, "pool", f"{name}:1", place, 4, ready), 0.0)
+            table.beat(HeartbeatRow(name, 1, "pool", f"{name}:1", place, 4, ready), 0.0)
     return make_placement(table, "a", 1000.0, Random(1), REGIONS)
 
 
--- a/tests/test_load_system.py
+++ b/tests/test_load_system.py
@@ -11,7 +11,7 @@
 from sesameford.gateway.load_system import make_load_system
 from sesameford.gateway.placement import make_placement
 from sesameford.load_messages import CustomerRates, FleetLoad, RouterLoad, ShareRow
-from sesameford.messages import BeatRow
+from sesameford.messages import HeartbeatRow
 from sesameford.tables import TargetState
 from sesameford.tree import effective_tree, parse_tree
 
@@ -36,7 +36,7 @@
         self.sent = []
         self.state = make_gateway_state(effective_tree(parse_tree(TREE, "t"), 1))
         table = make_beat_table()
-        row = BeatRow("e0", 1, "pool", "e0:1", "a", 4, TargetState.READY)
+        row = HeartbeatRow("e0", 1, "pool", "e0:1", "a", 4, TargetState.READY)
         table.beat(row, 0.0)
         self.placement = make_placement(table, "a", 1e6, Random(1))
         self.load = make_load_system(
@@ -92,7 +92,7 @@
     (reported,) = router.sent
     assert reported.receiver_id == "replica-1"
     assert isinstance(reported.message, RouterLoad)
-    assert reported.message.places[0].unread_tokens > 0
+    assert reported.message.target_loads[0].unread_tokens > 0
 
 
 def test_a_router_of_a_large_fleet_is_not_heard_more_often_than_the_replica_can_read():
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,7 +1,7 @@
 """The table of members takes no news from the past and forgets nothing it must keep."""
 
 from sesameford.members import make_members
-from sesameford.messages import Heartbeat, MemberRow, MembersNews
+from sesameford.messages import Heartbeat, MemberRow, MembersUpdate
 from sesameford.tables import InstanceState
 
 READY = InstanceState.READY
@@ -29,8 +29,8 @@
     """A hub passes on, late, what it knew before the instance was found again."""
     members = make_members("r1", 1, "a", peer_hubs=["h"])
     members.heard("h", 1, Heartbeat("a", READY, 1, 1, True, 0, ("a",)), 1.0)
-    members.news_heard("h", MembersNews((row(change_number=2),)), 1.0)
-    members.news_heard("h", MembersNews((row(flips=1, is_silent=True),)), 1.1)
+    members.news_heard("h", MembersUpdate((row(change_number=2),)), 1.0)
+    members.news_heard("h", MembersUpdate((row(flips=1, is_silent=True),)), 1.1)
     assert "r2" in members.live(1.2)
 
 
@@ -41,7 +41,7 @@
     instance would ask for the whole table every two seconds.
     """
     members = make_members("r1", 1, "a", peer_hubs=["h"])
-    members.news_heard("h", MembersNews((row(is_silent=True, flips=1),)), 1.0)
+    members.news_heard("h", MembersUpdate((row(is_silent=True, flips=1),)), 1.0)
     hub = make_members("h", 2, "a", is_hub=True)
     hub.heard("r1", 1, members.heartbeat(READY, 1, 2.0), 2.0)
     hub.wanted("r1")
--- a/tests/test_members_fuzz.py
+++ b/tests/test_members_fuzz.py
@@ -9,10 +9,10 @@
 from sesameford.members import make_members
 from sesameford.messages import (
     Heartbeat,
-    MembersWanted,
+    MembersRequest,
     Outgoing,
-    SuspectNews,
-    TreeWanted,
+    SuspectUpdate,
+    TreeRequest,
 )
 from sesameford.overlay import Topology, make_overlay
 from sesameford.tables import InstanceState
@@ -128,7 +128,7 @@
             return
         if receiver not in self.visible_from(origin, set(self.nodes)):
             return
-        message = TreeWanted(self.starts)
+        message = TreeRequest(self.starts)
         self.clear()
         outgoing = Outgoing(receiver, message, urgent=True)
         self.nodes[origin].overlay.send(outgoing, self.now)
@@ -142,7 +142,7 @@
         self.settle()
         if origin not in self.nodes:
             return
-        message = SuspectNews(b"digest", ("death",), False)
+        message = SuspectUpdate(b"digest", ("death",), False)
         self.clear()
         before = self.sent
         self.nodes[origin].overlay.send(Outgoing(None, message), self.now)
@@ -209,7 +209,7 @@
         for receiver in receivers:
             assert receiver in node.peers
             self.sent += 1
-            self.wanted += isinstance(outgoing.message, MembersWanted)
+            self.wanted += isinstance(outgoing.message, MembersRequest)
             for _ in range(1 + (self.random.random() < 0.05 * (self.loss > 0))):
                 if self.random.random() >= self.loss:
                     item = (node.name, node.incarnation, receiver, outgoing.message)
--- a/tests/test_peer_discovery.py
+++ b/tests/test_peer_discovery.py
@@ -3,7 +3,7 @@
 import asyncio
 from time import monotonic
 
-from sesameford.messages import Greeting, Heartbeat, IncarnationBehind, Outgoing
+from sesameford.messages import Heartbeat, Hello, Outgoing, StaleIncarnation
 from sesameford.peers import PeerLinks, seed_peer_id
 from sesameford.settings import DaemonSettings, Listen, Peer
 from sesameford.tables import InstanceState
@@ -22,15 +22,15 @@
             name, "a", Listen(address, address, address), seeds=(A,)
         )
         self.heard = []
-        self.greeting = Greeting(address, "a", True, False, ())
+        self.greeting = Hello(address, "a", True, False, ())
         self.links = PeerLinks(
             settings, incarnation, KEY, self._take, monotonic, redial_after_seconds=1.0
         )
 
     def _take(self, sender_id, incarnation, message):
         self.heard.append((sender_id, message))
-        if isinstance(message, IncarnationBehind):
-            self.links.raise_incarnation(message.heard)
+        if isinstance(message, StaleIncarnation):
+            self.links.raise_incarnation(message.highest_incarnation)
 
     async def say_until(self, message, condition, others=()):
         """Say something again and again until it has worked; all greet meanwhile."""
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -10,8 +10,8 @@
 from sesameford.gateway.calls import Prompt, PromptPart
 from sesameford.gateway.engine_backlog import LOST_SECONDS
 from sesameford.gateway.placement import LONGEST_REST_SECONDS, make_placement
-from sesameford.load_messages import FailingTarget, PlaceLoad
-from sesameford.messages import BeatRow
+from sesameford.load_messages import FailingTarget, TargetLoad
+from sesameford.messages import HeartbeatRow
 from sesameford.tables import TargetState
 
 OBJECTIVE_SECONDS = 0.25
@@ -32,7 +32,7 @@
 
 def engine(name, sequence, service="pool", slots=32, state=TargetState.READY):
     place = "a" if name in ("e0", "e1") else "b"
-    return BeatRow(name, sequence, service, f"{name}:1", place, slots, state)
+    return HeartbeatRow(name, sequence, service, f"{name}:1", place, slots, state)
 
 
 def prompt(subject, shared=5_000, own=1_000, session=99):
@@ -45,7 +45,7 @@
 
 
 def others(target_id, requests, unread_tokens):
-    return PlaceLoad(short_name(target_id), requests, unread_tokens)
+    return TargetLoad(short_name(target_id), requests, unread_tokens)
 
 
 def test_routers_that_never_spoke_send_a_shared_part_to_one_engine():
--- a/tests/test_plain_load.py
+++ b/tests/test_plain_load.py
@@ -15,8 +15,8 @@
 from sesameford.gateway.call_context import Refusal
 from sesameford.gateway.placement import make_placement
 from sesameford.gateway.queue_limit import make_queue_limit
-from sesameford.load_messages import PlaceLoad
-from sesameford.messages import BeatRow
+from sesameford.load_messages import TargetLoad
+from sesameford.messages import HeartbeatRow
 from sesameford.tables import TargetState
 
 SLOTS = 6
@@ -50,7 +50,9 @@
         table = make_beat_table()
         for name in targets:
             ready = TargetState.READY
-            table.beat(BeatRow(name, 1, "desk", f"{name}:1", "a", SLOTS, ready), 0.0)
+            table.beat(
+                HeartbeatRow(name, 1, "desk", f"{name}:1", "a", SLOTS, ready), 0.0
+            )
         placement = make_placement(table, "a", 1000.0, Random(number))
         deps.append(Deps(placement, random, clock))
     waiting = {name: [] for name in targets}
@@ -81,12 +83,12 @@
         if kind == "tell":
             for one in deps:
                 loads = [
-                    PlaceLoad(short_name(name), running[name] + len(waiting[name]), 0)
+                    TargetLoad(short_name(name), running[name] + len(waiting[name]), 0)
                     for name in targets
                 ]
                 own = {load.name: load for load in one.placement.loads(clock[0])}
                 one.placement.take_others(
-                    PlaceLoad(load.name, load.requests - own[load.name].requests, 0)
+                    TargetLoad(load.name, load.requests - own[load.name].requests, 0)
                     if load.name in own
                     else load
                     for load in loads
--- a/tests/test_target_spread_fuzz.py
+++ b/tests/test_target_spread_fuzz.py
@@ -8,12 +8,12 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from sesameford.messages import (
-    TargetNews,
-    TargetRenewed,
+    LeaseAttestations,
+    TargetAnnouncement,
+    TargetRenewal,
     TargetRow,
     TargetRows,
-    TargetsVouched,
-    TargetsWanted,
+    TargetRowsRequest,
 )
 from sesameford.tables import TargetKind
 from sesameford.target_replication import VOUCHED_LEASE_SECONDS, make_target_spread
@@ -164,7 +164,7 @@
                 target.next_announcement = self.now + ANNOUNCE_SECONDS
                 target.silent_since = self.now
                 at = self.random.choice(sorted(self.nodes))
-                news = TargetNews(
+                news = TargetAnnouncement(
                     name,
                     target.incarnation,
                     target.sequence,
@@ -202,17 +202,17 @@
     def deliver(self, sender, receiver, message):
         spread = self.spreads[receiver]
         match message:
-            case TargetNews():
+            case TargetAnnouncement():
                 spread.announced(message, self.now)
-            case TargetRenewed():
+            case TargetRenewal():
                 spread.renewed(sender, message, self.now)
             case TargetRow():
                 spread.row_heard(sender, message, self.now)
             case TargetRows():
                 spread.rows_heard(sender, message, self.now)
-            case TargetsVouched():
+            case LeaseAttestations():
                 spread.vouched(sender, message, self.now)
-            case TargetsWanted():
+            case TargetRowsRequest():
                 spread.wanted(sender, message, self.now)
 
 
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -3,14 +3,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sesameford.messages import TargetNews
+from sesameford.messages import TargetAnnouncement
 from sesameford.tables import TargetKind
 from sesameford.target_replication import make_target_spread
 from sesameford.targets import TargetRegistry
 
 
 def news(incarnation=1, sequence=1, lease=2.0, leaving=False, target_id="t"):
-    return TargetNews(
+    return TargetAnnouncement(
         target_id,
         incarnation,
         sequence,
--- a/tests/test_tree_fuzz.py
+++ b/tests/test_tree_fuzz.py
@@ -15,7 +15,7 @@
     rule,
 )
 
-from sesameford.messages import TreeWanted
+from sesameford.messages import TreeRequest
 from sesameford.tables import Instance, InstanceState
 from sesameford.tree import difference, effective_tree, parse_tree
 from sesameford.tree_changes import (
@@ -220,7 +220,7 @@
 
     @rule(sender=ids, receiver=ids, whole=st.booleans(), revision=st.integers(0, 5))
     def stray_question(self, sender, receiver, whole, revision):
-        self.bag.append((sender, receiver, TreeWanted(revision, whole)))
+        self.bag.append((sender, receiver, TreeRequest(revision, whole)))
 
     @rule(one=ids, limit=st.sampled_from([1, 2, 100, 100]))
     def work(self, one, limit):
@@ -295,8 +295,8 @@
 
 
 def test_the_history_is_read_through_the_log():
-    from sesameford.tree_changes import HistoryWanted
+    from sesameford.tree_changes import HistoryQuery
 
     machine = TreeMachine(lambda _: None)
-    read = machine.apply(1, encode_command(HistoryWanted(5)))
+    read = machine.apply(1, encode_command(HistoryQuery(5)))
     assert decode_history(read) == ()
--- a/tests/test_tree_spread.py
+++ b/tests/test_tree_spread.py
@@ -3,7 +3,7 @@
 import pytest
 
 from sesameford.errors import PeerError
-from sesameford.messages import TreeStepRow, TreeSteps, TreeWanted, TreeWhole
+from sesameford.messages import TreeRequest, TreeSnapshot, TreeStepRow, TreeSteps
 from sesameford.tables import Instance, InstanceState
 from sesameford.tree import (
     TreeDifference,
@@ -57,7 +57,7 @@
     commit_steps(spread, 3)
     before = spread.store.copy()
     for revision in (2, 3):
-        spread.received("e2", TreeWhole(revision, NODES, DIGEST), {}, 0.0)
+        spread.received("e2", TreeSnapshot(revision, NODES, DIGEST), {}, 0.0)
         assert spread.store.revision == 3
         assert spread.store.declared == before
 
@@ -69,14 +69,14 @@
     """
     spread = make_spread()
     with pytest.raises(PeerError):
-        spread.received("e2", TreeWhole(1, NODES, bytes(16)), {}, 0.0)
+        spread.received("e2", TreeSnapshot(1, NODES, bytes(16)), {}, 0.0)
     with pytest.raises(PeerError):
-        spread.received("e2", TreeWhole(1, {"customers": b"?"}, DIGEST), {}, 0.0)
+        spread.received("e2", TreeSnapshot(1, {"customers": b"?"}, DIGEST), {}, 0.0)
     wrong = TreeSteps((TreeStepRow(1, NODES, (), bytes(16)),))
     spread.received("e2", wrong, {}, 0.0)
     assert spread.store.revision == 0
     asked = spread.due({"e2": peer("e2", revision=1)}, 1.0)
-    assert asked[0].message == TreeWanted(0, whole=True)
+    assert asked[0].message == TreeRequest(0, whole=True)
 
 
 def test_one_who_is_far_behind_gets_the_whole_tree_once_a_second():
@@ -87,7 +87,7 @@
     """
     spread = make_spread()
     commit_steps(spread, KEPT_STEPS + 5)
-    near = spread.received("e2", TreeWanted(KEPT_STEPS), {}, 0.0)
+    near = spread.received("e2", TreeRequest(KEPT_STEPS), {}, 0.0)
     assert [row.revision for row in near[0].message.steps] == [
         1001,
         1002,
@@ -95,7 +95,7 @@
         1004,
         1005,
     ]
-    far = [spread.received("e3", TreeWanted(2), {}, now) for now in (0.0, 0.5, 1.0)]
+    far = [spread.received("e3", TreeRequest(2), {}, now) for now in (0.0, 0.5, 1.0)]
     assert [len(sent) for sent in far] == [1, 0, 1]
     assert far[0][0].message.revision == KEPT_STEPS + 5
 
@@ -107,12 +107,12 @@
     """
     spread = make_spread(peers=2)
     lagging = {"e2": peer("e2", revision=1)}
-    spread.received("e2", TreeWhole(1, NODES, DIGEST), lagging, 0.1)
+    spread.received("e2", TreeSnapshot(1, NODES, DIGEST), lagging, 0.1)
     spread.in_force.work()
     assert not spread.is_ready(lagging, 0.1)
     both = {**lagging, "e3": peer("e3", revision=2)}
     assert not spread.is_ready(both, 0.2)
-    spread.received("e3", TreeWhole(2, NODES, DIGEST), both, 0.3)
+    spread.received("e3", TreeSnapshot(2, NODES, DIGEST), both, 0.3)
     assert not spread.is_ready(both, 0.3)
     spread.in_force.work()
     assert spread.is_ready(both, 0.3)
@@ -124,7 +124,7 @@
     It serves what it can, under the tree on its disk; one without any stays out.
     """
     empty, replica = make_spread(), make_spread("e2")
-    replica.received("e3", TreeWhole(4, NODES, DIGEST), {}, 0.0)
+    replica.received("e3", TreeSnapshot(4, NODES, DIGEST), {}, 0.0)
     replica.in_force.work()
     assert not replica.is_ready({}, LISTEN_SECONDS / 2)
     assert replica.is_ready({}, LISTEN_SECONDS)
@@ -194,7 +194,7 @@
     passing = "customers: {children: {a: {}, b: {key_digests: [%s]}, c: {}}}"
     declare(spread, passing % ("a1" * 32))
     assert not spread.in_force.work(limit=1)
-    spread.received("e2", TreeWhole(9, NODES, DIGEST), {}, 0.0)
+    spread.received("e2", TreeSnapshot(9, NODES, DIGEST), {}, 0.0)
     assert spread.in_force.work()
     assert set(spread.in_force.tree.customers) == {"a"}
     assert spread.in_force.tree.customer_ids_by_digest == {}
