--- a/benchmarks/tree_bench.py
+++ b/benchmarks/tree_bench.py
@@ -17,17 +17,17 @@
 
 from sesameford.codec import encode_envelope
 from sesameford.messages import Envelope, Message, TreeRequest
-from sesameford.tables import Instance, InstanceState
+from sesameford.tables import InstanceRow, InstanceState
 from sesameford.tree import DeclaredTree, difference, parse_tree, parse_tree_in_slices
 from sesameford.tree_changes import TreeChange, TreeMachine, make_tree_change
 from sesameford.tree_changes import encode_command as encode_change
-from sesameford.tree_replication import TreeSpread
+from sesameford.tree_replication import TreeReplication
 from sesameford.tree_text import render_tree
 
 SIZES = (16, 2_200, 22_000)
 CUSTOMERS_A_BRANCH = 100
 CHANGES = 50
-PEER = Instance("e2", 1, "a", InstanceState.READY, 0, 0.0)
+PEER = InstanceRow("e2", 1, "a", InstanceState.READY, 0, 0.0)
 
 
 def make_text(customers: int, share: int = 1) -> str:
@@ -57,7 +57,7 @@
     return end - begin, max(longest, end - last)
 
 
-def slices_of(spread: TreeSpread) -> Iterable[None]:
+def slices_of(spread: TreeReplication) -> Iterable[None]:
     """Bring settings into force, a slice at a time."""
     while not spread.in_force.is_current:
         spread.in_force.work()
@@ -70,7 +70,7 @@
     def __init__(self, customers: int) -> None:
         self.customers = customers
         self.figures: dict[str, float] = {"customers": customers}
-        self.spread = TreeSpread("e1", "a", 1, 0.0)
+        self.spread = TreeReplication("e1", "a", 1, 0.0)
         self.machine = TreeMachine(self._committed)
         self.sent: list[Message] = []
         self.number = 0
@@ -159,7 +159,7 @@
         answer = self.spread.received("e2", TreeRequest(0, whole=True), {}, 0.0)
         message = answer[0].message
         self.note("whole_message_bytes", envelope_bytes([message]))
-        other = TreeSpread("e2", "a", 1, 0.0)
+        other = TreeReplication("e2", "a", 1, 0.0)
         self.timed("whole_taken_ms", lambda: other.received("e1", message, {}, 0.0))
         self.timed("render_ms", lambda: render_tree(tree))
         self.timed("snapshot_ms", self.machine.snapshot)
@@ -167,7 +167,7 @@
         self.note("memory_replica_mb", traced_mb(self.customers, replica=True))
 
 
-def parse_or_edit(spread: TreeSpread, number: int) -> DeclaredTree:
+def parse_or_edit(spread: TreeReplication, number: int) -> DeclaredTree:
     """Return the present tree with one customer's share changed."""
     nodes = dict(spread.store.declared.nodes)
     path = "customers/branch-000/customer-00003"
@@ -188,7 +188,7 @@
     text = make_text(customers)
     gc.collect()
     start()
-    spread = TreeSpread("e1", "a", 1, 0.0)
+    spread = TreeReplication("e1", "a", 1, 0.0)
 
     def committed(machine: TreeMachine) -> None:
         spread.committed(machine.store, True, {})
--- a/sesameford/account_virtual_times.py
+++ b/sesameford/account_virtual_times.py
@@ -15,7 +15,7 @@
     counted_cost_units: float
 
 
-class Standings:
+class AccountVirtualTimes:
     """Virtual times by account; what this router served since is added on reading."""
 
     def __init__(self) -> None:
--- a/sesameford/allocation.py
+++ b/sesameford/allocation.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Vessel:
+class CustomerBacklog:
     """One customer's waiting work at one holder, in virtual time.
 
     ``share`` is the part of the customer's weight that falls to this holder: what
@@ -56,7 +56,7 @@
 
     holder_id: str
     resource: str
-    vessels: list[Vessel]
+    vessels: list[CustomerBacklog]
     slots: int
     requests: int
     handicap: float = 0.0
@@ -89,7 +89,7 @@
         return self.vessels[-1].virtual_time
 
 
-def water_level(vessels: Sequence[Vessel], cost_units: float) -> float:
+def water_level(vessels: Sequence[CustomerBacklog], cost_units: float) -> float:
     """Return how high an amount of service lifts the lowest virtual times.
 
     Args:
@@ -133,7 +133,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Move:
+class SlotMove:
     """Take a slot back from one holder because another is further behind."""
 
     from_holder_id: str
@@ -193,7 +193,7 @@
     horizon: Horizon,
     quantum: float,
     may_take: Callable[[Holder, Holder], bool],
-) -> list[Move]:
+) -> list[SlotMove]:
     """Return the slots to take back from holders that are ahead.
 
     Args:
@@ -214,7 +214,7 @@
         lowest.requests -= 1
         _count_slot(holders, lowest.holder_id, 1, horizon)
         behind = [holder for holder in behind if holder.requests > 0]
-    moves: list[Move] = []
+    moves: list[SlotMove] = []
     while behind:
         lowest = min(behind, key=_behind_order)
         if lowest.level == inf:
@@ -223,7 +223,7 @@
         if source is None:
             behind.remove(lowest)
             continue
-        moves.append(Move(source.holder_id, lowest.holder_id, lowest.resource))
+        moves.append(SlotMove(source.holder_id, lowest.holder_id, lowest.resource))
         lowest.requests -= 1
         _count_slot(holders, source.holder_id, -1, horizon)
         _count_slot(holders, lowest.holder_id, 1, horizon)
@@ -258,7 +258,7 @@
     totals: Mapping[str, float],
     virtual_times: Mapping[str, float],
     shares: Mapping[str, float],
-) -> list[Vessel]:
+) -> list[CustomerBacklog]:
     """Return vessels by virtual time.
 
     Args:
@@ -271,7 +271,7 @@
         One vessel for each customer that waits.
     """
     vessels = [
-        Vessel(
+        CustomerBacklog(
             customer,
             virtual_times[customer],
             max(cost, 1e-6),
--- a/sesameford/allocator.py
+++ b/sesameford/allocator.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Mapping
 
 from sesameford.accounts import Account, OriginTerm
-from sesameford.allocator_state import DEBT_QUANTA, AllocatorState, Place
+from sesameford.allocator_state import DEBT_QUANTA, AllocatorState, RemoteAllocator
 from sesameford.effective import EffectiveTree
 from sesameford.grant_answers import grant_answers
 from sesameford.links import LEASE_SECONDS, GrantLink, ReportLink
@@ -125,7 +125,7 @@
         base = dict(self.state.totals.accounts())
         link = ReportLink(receiver_id, self._term, now_seconds, holdings, base)
         link.requests_full = True
-        self.state.places[name] = Place(link)
+        self.state.places[name] = RemoteAllocator(link)
 
     def seed(self, account: Account, virtual_time: float) -> None:
         """Take a virtual time that this instance knew as a router."""
--- a/sesameford/allocator_state.py
+++ b/sesameford/allocator_state.py
@@ -9,7 +9,13 @@
 from sesameford.slot_messages import CompletionTotalsRow, PoolUpdate
 from sesameford.tables import Target
 from sesameford.virtual_time import VirtualTimes
-from sesameford.windows import Pace, Window, adapt_window, make_window, regrow_window
+from sesameford.windows import (
+    CompletionTotals,
+    Window,
+    adapt_window,
+    make_window,
+    regrow_window,
+)
 
 PATIENCE_SECONDS = 0.5
 DEBT_QUANTA = 20.0
@@ -36,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class Place:
+class RemoteAllocator:
     """Another data centre: its allocator, and what it last said of its pools."""
 
     link: ReportLink
@@ -59,7 +65,7 @@
     expected: frozenset[str] = frozenset()
     activated_at_seconds: float = float("-inf")
     links: dict[str, GrantLink] = field(default_factory=dict)
-    places: dict[str, Place] = field(default_factory=dict)
+    places: dict[str, RemoteAllocator] = field(default_factory=dict)
     pools: dict[str, PoolState] = field(default_factory=dict)
     origins: OriginTotals = field(default_factory=OriginTotals)
     totals: OwnTotals = field(default_factory=OwnTotals)
@@ -139,8 +145,8 @@
         """Adapt a target's window to completions that a router reports."""
         if not self.owns(row.target_id) or row.target_id not in self.targets:
             return
-        total = Pace(row.completions, row.cost_units, row.busy_seconds)
-        known = link.paces.get(row.target_id, Pace())
+        total = CompletionTotals(row.completions, row.cost_units, row.busy_seconds)
+        known = link.paces.get(row.target_id, CompletionTotals())
         link.paces[row.target_id] = total
         if total.completions > known.completions:
             added = total.minus(known)
--- a/sesameford/completion_run.py
+++ b/sesameford/completion_run.py
@@ -29,7 +29,7 @@
     PROBE_TIMEOUT_SECONDS,
     NextStep,
     Probe,
-    Progress,
+    StreamProgress,
     after_probe,
     progressed,
     resumed,
@@ -50,7 +50,7 @@
     attempt: Attempt
     target: Target
     history: AttemptHistory
-    progress: Progress
+    progress: StreamProgress
     events: EventStream = field(default_factory=EventStream)
 
 
--- a/sesameford/daemon.py
+++ b/sesameford/daemon.py
@@ -32,7 +32,7 @@
         """Compose and start the instance, and take stop signals from here on."""
         self.instance = Instance(self.settings, self.source)
         for number in STOP_SIGNALS:
-            self.loop.add_signal_handler(number, self.instance.ask_stop)
+            self.loop.add_signal_handler(number, self.instance.request_stop)
         await self.instance.start()
 
     async def stop(self, exception: Exception | None = None) -> None:
--- a/sesameford/discovery/heartbeat_table.py
+++ b/sesameford/discovery/heartbeat_table.py
@@ -30,17 +30,17 @@
 
 
 @dataclass(slots=True)
-class KnownTarget:
+class HeartbeatEntry:
     """A row with when a beat of the target was last heard of here."""
 
     row: HeartbeatRow
-    heard_at_seconds: float
+    last_seen_at_seconds: float
     cold_until_seconds: float = float("-inf")
     gone_at_seconds: float | None = None
 
 
 @dataclass(slots=True)
-class BeatTable:
+class HeartbeatTable:
     """All rows at one instance; made empty, filled by ``beat`` and ``received``.
 
     No target is cold after ``cold_until_seconds``.
@@ -50,7 +50,7 @@
     """
 
     has_disk: bool = False
-    known: dict[str, KnownTarget] = field(default_factory=dict)
+    known: dict[str, HeartbeatEntry] = field(default_factory=dict)
     changes: int = 0
     cold_until_seconds: float = float("-inf")
     _names: dict[int, str] = field(default_factory=dict)
@@ -105,7 +105,7 @@
                 return [Outgoing(sender_id, HeartbeatRows(rows), urgent=True)]
         return ()
 
-    def by_name(self, name: int) -> KnownTarget | None:
+    def by_name(self, name: int) -> HeartbeatEntry | None:
         """Return a target by its short name, None if nothing is known of it."""
         return self.known.get(self._names.get(name, ""))
 
@@ -144,7 +144,7 @@
         is_end = row.state is TargetState.GONE
         if row.sequence <= known.row.sequence and not is_end:
             return False
-        known.heard_at_seconds = now_seconds
+        known.last_seen_at_seconds = now_seconds
         if replace(row, sequence=known.row.sequence) == known.row:
             # The number is not passed on, and does not count for the digest.
             known.row = row
@@ -159,7 +159,7 @@
         self._digest ^= _digest_of(row)
         gone_at_seconds = now_seconds if row.state is TargetState.GONE else None
         cold_until_seconds = now_seconds + row.cold_milliseconds / 1000
-        self.known[row.target_id] = KnownTarget(
+        self.known[row.target_id] = HeartbeatEntry(
             row, now_seconds, cold_until_seconds, gone_at_seconds
         )
         self.cold_until_seconds = max(self.cold_until_seconds, cold_until_seconds)
@@ -172,7 +172,7 @@
         for name in message.names:
             target_id = self._names.get(name)
             if target_id is not None:
-                self.known[target_id].heard_at_seconds = now_seconds
+                self.known[target_id].last_seen_at_seconds = now_seconds
         if message.digest == self._digest:
             return ()
         asked_at_seconds = self._asked_at_seconds.get(sender_id)
@@ -206,10 +206,10 @@
     return xxh64_intdigest(text.encode())
 
 
-def make_beat_table(has_disk: bool = False) -> BeatTable:
+def make_heartbeat_table(has_disk: bool = False) -> HeartbeatTable:
     """Return an empty table.
 
     Args:
         has_disk: Whether it is a replica's.
     """
-    return BeatTable(has_disk)
+    return HeartbeatTable(has_disk)
--- a/sesameford/discovery/roster.py
+++ b/sesameford/discovery/roster.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from sesameford.discovery.hello_peer import greeted_peer
+from sesameford.discovery.hello_peer import peer_from_hello
 from sesameford.messages import Hello, ReplicaRow
 from sesameford.settings import Peer
 
@@ -26,7 +26,7 @@
 
     peer: Peer
     founds: bool
-    heard_at_seconds: float
+    last_seen_at_seconds: float
 
 
 class Roster:
@@ -57,7 +57,7 @@
         Returns:
             The instances that this one should have links to by it.
         """
-        peer = greeted_peer(sender_id, greeting)
+        peer = peer_from_hello(sender_id, greeting)
         self._known[sender_id] = KnownInstance(peer, greeting.founds, now_seconds)
         found = [peer]
         for row in greeting.replicas:
@@ -72,7 +72,8 @@
         replicas = [
             ReplicaRow(one.peer.instance_id, one.peer.data_centre, one.peer.peers)
             for one in self._known.values()
-            if one.peer.has_disk and now_seconds - one.heard_at_seconds < NAMED_SECONDS
+            if one.peer.has_disk
+            and now_seconds - one.last_seen_at_seconds < NAMED_SECONDS
         ]
         return Hello(
             self._own.peers,
@@ -131,7 +132,7 @@
         old = [
             instance_id
             for instance_id, one in self._known.items()
-            if now_seconds - one.heard_at_seconds > FORGOTTEN_SECONDS
+            if now_seconds - one.last_seen_at_seconds > FORGOTTEN_SECONDS
         ]
         for instance_id in old:
             del self._known[instance_id]
@@ -142,7 +143,7 @@
         return [
             one.peer.instance_id
             for one in self._known.values()
-            if _disk(one) and now_seconds - one.heard_at_seconds < within_seconds
+            if _disk(one) and now_seconds - one.last_seen_at_seconds < within_seconds
         ]
 
     def near_replicas(self, now_seconds: float, within_seconds: float) -> list[str]:
@@ -169,7 +170,7 @@
     def live_routers(self, now_seconds: float, within_seconds: float) -> int:
         """Return how many instances without disks were heard of late."""
         return sum(
-            not _disk(one) and now_seconds - one.heard_at_seconds < within_seconds
+            not _disk(one) and now_seconds - one.last_seen_at_seconds < within_seconds
             for one in self._known.values()
         )
 
--- a/sesameford/election.py
+++ b/sesameford/election.py
@@ -11,7 +11,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from sesameford.tables import Instance, InstanceState, Target
+from sesameford.tables import InstanceRow, InstanceState, Target
 
 SILENT_SECONDS = 3.0
 START_SECONDS = 1.0
@@ -44,11 +44,11 @@
         self._instance_id = instance_id
         self._rank = (not is_hub, incarnation, instance_id)
         self._data_centre = data_centre
-        self._instances: Mapping[str, Instance] = {}
+        self._instances: Mapping[str, InstanceRow] = {}
         self._unfit_until: dict[str, float] = {}
         self._started_at_seconds: float | None = None
 
-    def observe(self, instances: Mapping[str, Instance]) -> None:
+    def observe(self, instances: Mapping[str, InstanceRow]) -> None:
         """Take the present table of other instances."""
         self._instances = instances
 
@@ -134,10 +134,10 @@
             for target in targets
         }
 
-    def _is_heard(self, instance: Instance, now_seconds: float) -> bool:
-        return now_seconds - instance.heard_at_seconds < SILENT_SECONDS
+    def _is_heard(self, instance: InstanceRow, now_seconds: float) -> bool:
+        return now_seconds - instance.last_seen_at_seconds < SILENT_SECONDS
 
-    def _ready(self, now_seconds: float) -> list[Instance]:
+    def _ready(self, now_seconds: float) -> list[InstanceRow]:
         """Return the other instances that could serve as allocators."""
         return [
             instance
@@ -148,6 +148,6 @@
         ]
 
 
-def _rank(instance: Instance) -> Rank:
+def _rank(instance: InstanceRow) -> Rank:
     """Return what orders instances for the part of allocator."""
     return not instance.is_hub, instance.incarnation, instance.instance_id
--- a/sesameford/gateway/admit.py
+++ b/sesameford/gateway/admit.py
@@ -7,10 +7,10 @@
 from sesameford.effective import EffectiveTree, HttpRouteSettings
 from sesameford.gateway.call_context import (
     RETRY_AFTER_SECONDS,
+    CallContext,
     GatewayDeps,
     GatewayState,
     Refusal,
-    Run,
 )
 from sesameford.gateway.calls import Call, Prompt
 from sesameford.gateway.queue_limit import make_queue_limit
@@ -85,7 +85,7 @@
     call: Call,
     admitted: Admitted,
     arrived_at_seconds: float,
-) -> Run:
+) -> CallContext:
     """Read the body of a call that is to run.
 
     Raises:
@@ -97,7 +97,7 @@
     if call.patience_seconds is not None:
         patience_seconds = min(patience_seconds, call.patience_seconds)
     spent_seconds = deps.now() - arrived_at_seconds
-    return Run(
+    return CallContext(
         call,
         body,
         route,
--- a/sesameford/gateway/call_context.py
+++ b/sesameford/gateway/call_context.py
@@ -9,16 +9,16 @@
 from sesameford.effective import EffectiveTree, HttpRouteSettings
 from sesameford.errors import SesamefordError
 from sesameford.event_stream import EventStream
-from sesameford.gateway.calls import Call, Edge
+from sesameford.gateway.calls import Call, WireAdapter
 from sesameford.gateway.forward import Sender
-from sesameford.gateway.gateway_metrics import Tally
+from sesameford.gateway.gateway_metrics import GatewayMetrics
 from sesameford.gateway.loop_lag import LoopLag
 from sesameford.gateway.placement import Placement
 from sesameford.gateway.queue_limit import QueueLimit
 from sesameford.gateway.route_table import RouteTable, make_route_table
 from sesameford.gateway.second_sends import SecondSends
 from sesameford.gateway.share_gate import ShareGate
-from sesameford.gateway.target_record import Lease
+from sesameford.gateway.target_record import Reservation
 
 # A caller is asked to come back after so long where nothing better is known: about
 # the time in which a resting target is tried again.
@@ -56,13 +56,13 @@
 class GatewayDeps:
     """The parts of a router that a call meets."""
 
-    edge: Edge
+    edge: WireAdapter
     sender: Sender
     placement: Placement
     gate: ShareGate
     second_sends: SecondSends
     lag: LoopLag
-    tally: Tally
+    tally: GatewayMetrics
     random: Random
     state: Callable[[], GatewayState | None]
     routers: Callable[[], int]
@@ -105,7 +105,7 @@
 
 
 @dataclass(slots=True)
-class Run:
+class CallContext:
     """One call on its way; ``until_seconds`` is on the loop's clock.
 
     Its targets are in the regions ``homes``, where it has any.
@@ -129,7 +129,7 @@
     first_event_seconds: float | None = None
     last_event_at_seconds: float = 0.0
     longest_pause_seconds: float = 0.0
-    lease: Lease | None = None
+    lease: Reservation | None = None
 
     @property
     def may_repeat(self) -> bool:
@@ -151,7 +151,7 @@
 class CutError(SesamefordError):
     """A stream broke off that its caller has a part of."""
 
-    def __init__(self, run: Run, detail: str) -> None:
+    def __init__(self, run: CallContext, detail: str) -> None:
         super().__init__(detail)
         self.run = run
         self.detail = detail
--- a/sesameford/gateway/call_log.py
+++ b/sesameford/gateway/call_log.py
@@ -2,10 +2,10 @@
 
 import logging
 
-from sesameford.gateway.call_context import GatewayDeps, Refusal, Run
+from sesameford.gateway.call_context import CallContext, GatewayDeps, Refusal
 from sesameford.gateway.calls import Call
 from sesameford.gateway.forward import SendingError
-from sesameford.gateway.target_record import Lease
+from sesameford.gateway.target_record import Reservation
 
 logger = logging.getLogger(__name__)
 
@@ -13,7 +13,7 @@
 def log_refusal(
     deps: GatewayDeps,
     call: Call | None,
-    run: Run | None,
+    run: CallContext | None,
     refusal: Refusal,
     arrived_at_seconds: float,
 ) -> None:
@@ -34,7 +34,9 @@
     )
 
 
-def log_failure(deps: GatewayDeps, run: Run, lease: Lease, error: SendingError) -> None:
+def log_failure(
+    deps: GatewayDeps, run: CallContext, lease: Reservation, error: SendingError
+) -> None:
     logger.warning(
         "sending failed",
         extra={
@@ -48,7 +50,7 @@
     )
 
 
-def log_end(deps: GatewayDeps, run: Run, outcome: str, detail: str) -> None:
+def log_end(deps: GatewayDeps, run: CallContext, outcome: str, detail: str) -> None:
     took_seconds = deps.now() - run.arrived_at_seconds
     deps.tally.ended(
         outcome, run.route.route_id, run.status, took_seconds, run.first_event_seconds
--- a/sesameford/gateway/calls.py
+++ b/sesameford/gateway/calls.py
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sending:
+class SendAttempt:
     """What the system tells one target beside the caller's own request.
 
     ``copy_from`` is the address of another engine that remembers the prompt's shared
@@ -123,7 +123,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Edge:
+class WireAdapter:
     """How callers and targets of one platform speak.
 
     Args:
@@ -135,6 +135,6 @@
     """
 
     read_call: Callable[[str, str, Mapping[str, str], Headers], Call]
-    sent_headers: Callable[[Call, Sending], Headers]
+    sent_headers: Callable[[Call, SendAttempt], Headers]
     read_answer: Callable[[int, Headers], AnswerHead]
     own_headers: Callable[[Call | None], Headers]
--- a/sesameford/gateway/candidates.py
+++ b/sesameford/gateway/candidates.py
@@ -9,7 +9,11 @@
 from enum import StrEnum
 from itertools import chain
 
-from sesameford.discovery.heartbeat_table import BeatTable, KnownTarget, short_name
+from sesameford.discovery.heartbeat_table import (
+    HeartbeatEntry,
+    HeartbeatTable,
+    short_name,
+)
 from sesameford.effective import EffectiveTree
 from sesameford.gateway.cold_targets import make_cold_targets
 from sesameford.tables import TargetState
@@ -37,7 +41,7 @@
 
     def __init__(
         self,
-        table: BeatTable,
+        table: HeartbeatTable,
         regions: Mapping[str, str],
         restarted: Callable[[str], None],
     ) -> None:
@@ -46,7 +50,7 @@
         self._regions = regions
         self._restarted = restarted
         self._incarnations: dict[str, int] = {}
-        self._by_service: dict[str, list[KnownTarget]] = {}
+        self._by_service: dict[str, list[HeartbeatEntry]] = {}
         self._evacuated: frozenset[str] = frozenset()
         self._seen_changes = -1
 
@@ -67,7 +71,7 @@
 
     def of_service(
         self, service: str, homes: frozenset[str] | None = None
-    ) -> list[KnownTarget]:
+    ) -> list[HeartbeatEntry]:
         """Return the targets of a service that get work.
 
         Args:
@@ -78,8 +82,8 @@
         return self._at_home(self._by_service.get(service, []), homes)
 
     def permitted(
-        self, found: list[KnownTarget], now_seconds: float
-    ) -> list[KnownTarget]:
+        self, found: list[HeartbeatEntry], now_seconds: float
+    ) -> list[HeartbeatEntry]:
         """Return those of some targets that one more request may be sent to."""
         if not self.cold.are_any(now_seconds):
             return found
@@ -90,13 +94,17 @@
             or self.cold.may_send(known, now_seconds)
         ]
 
-    def warm(self, found: list[KnownTarget], now_seconds: float) -> list[KnownTarget]:
+    def warm(
+        self, found: list[HeartbeatEntry], now_seconds: float
+    ) -> list[HeartbeatEntry]:
         """Return those of some targets that are not cold."""
         if not self.cold.are_any(now_seconds):
             return found
         return [known for known in found if not self.cold.is_cold(known, now_seconds)]
 
-    def cold_ids(self, found: list[KnownTarget], now_seconds: float) -> frozenset[str]:
+    def cold_ids(
+        self, found: list[HeartbeatEntry], now_seconds: float
+    ) -> frozenset[str]:
         """Return the ids of those of some targets that are cold."""
         if not self.cold.are_any(now_seconds):
             return frozenset()
@@ -122,7 +130,7 @@
             for known in self._cold(now_seconds)
         )
 
-    def use_permit(self, known: KnownTarget, now_seconds: float) -> bool:
+    def use_permit(self, known: HeartbeatEntry, now_seconds: float) -> bool:
         """Use up the permit that a request needs, and return whether it needs one."""
         is_cold = self.cold.are_any(now_seconds) and self.cold.is_cold(
             known, now_seconds
@@ -171,7 +179,7 @@
         )
         return available / ready if ready else 1.0
 
-    def _ready(self, services: Collection[str]) -> list[KnownTarget]:
+    def _ready(self, services: Collection[str]) -> list[HeartbeatEntry]:
         """Return the targets of some services, those of evacuated data centres too."""
         return [
             known
@@ -179,7 +187,7 @@
             if known.row.service in services and known.row.state is TargetState.READY
         ]
 
-    def _cold(self, now_seconds: float) -> list[KnownTarget]:
+    def _cold(self, now_seconds: float) -> list[HeartbeatEntry]:
         """Return the cold targets that get work."""
         if not self.cold.are_any(now_seconds):
             return []
@@ -188,8 +196,8 @@
         return [known for known in found if self.cold.is_cold(known, now_seconds)]
 
     def _at_home(
-        self, found: list[KnownTarget], homes: frozenset[str] | None
-    ) -> list[KnownTarget]:
+        self, found: list[HeartbeatEntry], homes: frozenset[str] | None
+    ) -> list[HeartbeatEntry]:
         """Return the targets in some regions; one of an unknown region is in none."""
         if homes is None:
             return found
@@ -210,7 +218,7 @@
             if known.row.state is TargetState.READY and not is_evacuated:
                 self._by_service.setdefault(known.row.service, []).append(known)
 
-    def _note_incarnation(self, known: KnownTarget) -> None:
+    def _note_incarnation(self, known: HeartbeatEntry) -> None:
         target_id, incarnation = known.row.target_id, known.row.incarnation
         if incarnation > self._incarnations.setdefault(target_id, incarnation):
             self._incarnations[target_id] = incarnation
@@ -218,7 +226,7 @@
 
 
 def make_candidates(
-    table: BeatTable, regions: Mapping[str, str], restarted: Callable[[str], None]
+    table: HeartbeatTable, regions: Mapping[str, str], restarted: Callable[[str], None]
 ) -> Candidates:
     """Return the candidates before any tree is in force; see ``Candidates``."""
     return Candidates(table, regions, restarted)
--- a/sesameford/gateway/cold_targets.py
+++ b/sesameford/gateway/cold_targets.py
@@ -9,7 +9,11 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
-from sesameford.discovery.heartbeat_table import BeatTable, KnownTarget, short_name
+from sesameford.discovery.heartbeat_table import (
+    HeartbeatEntry,
+    HeartbeatTable,
+    short_name,
+)
 from sesameford.effective import ServiceSettings
 
 # A permit counts for so long from when its router asked, by the router's own clock, so
@@ -24,7 +28,7 @@
     ``requests_sent`` counts the requests for which a permit was used.
     """
 
-    table: BeatTable
+    table: HeartbeatTable
     _services: Mapping[str, ServiceSettings] = field(default_factory=dict)
     _restored_at_seconds: dict[str, float] = field(default_factory=dict)
     _until_seconds: float = float("-inf")
@@ -54,7 +58,7 @@
         """Return whether any target can be cold."""
         return now_seconds < max(self._until_seconds, self.table.cold_until_seconds)
 
-    def rate_requests(self, known: KnownTarget, now_seconds: float) -> float | None:
+    def rate_requests(self, known: HeartbeatEntry, now_seconds: float) -> float | None:
         """Return what a target takes in a second; None if it is not cold."""
         service = self._services.get(known.row.service)
         if service is None or service.cold_requests_per_second is None:
@@ -67,7 +71,7 @@
         )
         return service.cold_requests_per_second if now_seconds < until_seconds else None
 
-    def is_cold(self, known: KnownTarget, now_seconds: float) -> bool:
+    def is_cold(self, known: HeartbeatEntry, now_seconds: float) -> bool:
         """Return whether a target is cold."""
         return self.rate_requests(known, now_seconds) is not None
 
@@ -85,18 +89,18 @@
         if now_seconds < until_seconds:
             self._permits.update(dict.fromkeys(names, until_seconds))
 
-    def may_send(self, known: KnownTarget, now_seconds: float) -> bool:
+    def may_send(self, known: HeartbeatEntry, now_seconds: float) -> bool:
         """Return whether there is a permit for a target."""
         name = short_name(known.row.target_id)
         return now_seconds < self._permits.get(name, float("-inf"))
 
-    def sent(self, known: KnownTarget) -> None:
+    def sent(self, known: HeartbeatEntry) -> None:
         """Use up the permit for a target."""
         self.requests_sent += 1
         self._permits.pop(short_name(known.row.target_id), None)
 
 
-def make_cold_targets(table: BeatTable) -> ColdTargets:
+def make_cold_targets(table: HeartbeatTable) -> ColdTargets:
     """Return what is known of cold targets before any tree is in force.
 
     Args:
--- a/sesameford/gateway/engine_choice.py
+++ b/sesameford/gateway/engine_choice.py
@@ -14,10 +14,10 @@
 
 from xxhash import xxh32_intdigest
 
-from sesameford.discovery.heartbeat_table import KnownTarget
+from sesameford.discovery.heartbeat_table import HeartbeatEntry
 from sesameford.effective import ServiceSettings
 from sesameford.gateway.calls import Prompt
-from sesameford.gateway.target_record import Place
+from sesameford.gateway.target_record import TargetRecord
 
 # What each running request adds to the wait for a first event: a batch's step takes
 # some hundredth longer for each request in it.
@@ -55,8 +55,8 @@
     ``copy_from``; ``again_tokens`` of what is read are read at another engine too.
     """
 
-    known: KnownTarget
-    place: Place
+    known: HeartbeatEntry
+    place: TargetRecord
     unread_tokens: int
     again_tokens: int = 0
     copied_tokens: int = 0
@@ -67,13 +67,13 @@
 class _Kept:
     """The engine that keeps most of a prompt, and the first of its parts' order."""
 
-    home: KnownTarget
-    source: KnownTarget
+    home: HeartbeatEntry
+    source: HeartbeatEntry
     tokens: int
 
 
 def queue_seconds(
-    place: Place, slots: int, hold_seconds: float, now_seconds: float
+    place: TargetRecord, slots: int, hold_seconds: float, now_seconds: float
 ) -> float:
     """Return the time until an engine would begin to read one more prompt.
 
@@ -93,7 +93,7 @@
 
 def options_for(
     prompt: Prompt,
-    usable: Sequence[tuple[KnownTarget, Place]],
+    usable: Sequence[tuple[HeartbeatEntry, TargetRecord]],
     engine: ServiceSettings,
     random: Random,
     permitted: frozenset[str] = frozenset(),
@@ -160,7 +160,7 @@
 
 def _option(
     prompt: Prompt,
-    engine: tuple[KnownTarget, Place],
+    engine: tuple[HeartbeatEntry, TargetRecord],
     kept_tokens: int,
     found: _Kept,
     copy_tokens_per_second: float | None,
@@ -182,12 +182,12 @@
 
 def _home_order(
     prompt: Prompt,
-) -> Callable[[tuple[KnownTarget, Place]], int]:
+) -> Callable[[tuple[HeartbeatEntry, TargetRecord]], int]:
     """Return the order of engines for a prompt's last shared part."""
     shared = prompt.shared_parts or prompt.parts
     part_id = shared[-1].part_id if shared else 0
 
-    def order(option: tuple[KnownTarget, Place]) -> int:
+    def order(option: tuple[HeartbeatEntry, TargetRecord]) -> int:
         return xxh32_intdigest(f"{part_id}/{option[0].row.target_id}".encode())
 
     return order
--- a/sesameford/gateway/forward.py
+++ b/sesameford/gateway/forward.py
@@ -18,7 +18,7 @@
 from yarl import URL
 
 from sesameford.errors import SesamefordError
-from sesameford.gateway.calls import AnswerHead, Call, Edge, Sending
+from sesameford.gateway.calls import AnswerHead, Call, SendAttempt, WireAdapter
 
 # A target in another data centre answers within some hundredths; one that is dark would
 # hold each call up. A lost first packet is sent again only after a second, which is
@@ -114,7 +114,7 @@
     """Sends calls to targets."""
 
     session: ClientSession
-    edge: Edge
+    edge: WireAdapter
 
     @asynccontextmanager
     async def exchange(
@@ -122,7 +122,7 @@
         call: Call,
         body: bytes,
         address: str,
-        sending: Sending,
+        sending: SendAttempt,
         until_seconds: float,
     ) -> AsyncIterator[Exchange]:
         """Send a call and wait for the head of its answer.
@@ -154,7 +154,7 @@
         call: Call,
         body: bytes,
         address: str,
-        sending: Sending,
+        sending: SendAttempt,
         until_seconds: float,
     ) -> ClientResponse:
         url = URL(f"http://{address}{call.target}", encoded=True)
@@ -201,6 +201,6 @@
     return f"{type(error).__name__}: {error}"[:200]
 
 
-def make_sender(session: ClientSession, edge: Edge) -> Sender:
+def make_sender(session: ClientSession, edge: WireAdapter) -> Sender:
     """Return what sends calls over a session."""
     return Sender(session, edge)
--- a/sesameford/gateway/gateway_metrics.py
+++ b/sesameford/gateway/gateway_metrics.py
@@ -8,7 +8,7 @@
 from sesameford.buckets import SECONDS_BUCKETS
 
 
-class Tally:
+class GatewayMetrics:
     """The counters of one router or replica; ``open_calls`` are under way now."""
 
     def __init__(self) -> None:
@@ -102,6 +102,6 @@
         self._gauges.set({"name": name}, value)
 
 
-def make_tally() -> Tally:
+def make_gateway_metrics() -> GatewayMetrics:
     """Return counters that all stand at zero."""
-    return Tally()
+    return GatewayMetrics()
--- a/sesameford/gateway/gateway_node.py
+++ b/sesameford/gateway/gateway_node.py
@@ -18,7 +18,7 @@
 
 from sesameford.claims import ClaimsMachine
 from sesameford.discovery.founding_mark import is_founder
-from sesameford.discovery.heartbeat_table import KnownTarget, make_beat_table
+from sesameford.discovery.heartbeat_table import HeartbeatEntry, make_heartbeat_table
 from sesameford.discovery.roster import make_roster
 from sesameford.effective import EffectiveTree
 from sesameford.errors import PeerError
@@ -28,11 +28,11 @@
     GatewayState,
     make_gateway_state,
 )
-from sesameford.gateway.calls import Edge
+from sesameford.gateway.calls import WireAdapter
 from sesameford.gateway.cold_permits import make_cold_permits
 from sesameford.gateway.fleet_sums import LiveInstances
 from sesameford.gateway.forward import CONNECT_SECONDS, make_sender
-from sesameford.gateway.gateway_metrics import make_tally
+from sesameford.gateway.gateway_metrics import make_gateway_metrics
 from sesameford.gateway.load_report import REPORT_SECONDS
 from sesameford.gateway.load_system import make_load_system
 from sesameford.gateway.operator_calls import make_operator_calls
@@ -94,10 +94,12 @@
 TOKEN_BITS = 48
 
 
-class Node:
+class GatewayNode:
     """Composes the parts of one instance and runs its systems each tick."""
 
-    def __init__(self, settings: DaemonSettings, source: str, edge: Edge) -> None:
+    def __init__(
+        self, settings: DaemonSettings, source: str, edge: WireAdapter
+    ) -> None:
         self._settings = settings
         self._edge = edge
         self._now: Callable[[], float] = monotonic
@@ -108,8 +110,8 @@
             settings.listen.peers,
             settings.data_folder is not None,
         )
-        self.tally = make_tally()
-        self.table = make_beat_table(self._own.has_disk)
+        self.tally = make_gateway_metrics()
+        self.table = make_heartbeat_table(self._own.has_disk)
         founds = settings.founds
         if settings.data_folder is not None:
             founds = is_founder(Path(settings.data_folder), founds)
@@ -234,11 +236,11 @@
         """Return whether the balancer may send callers here."""
         return self._stop.is_ready and self._tree.is_ready()
 
-    def at_finishing(self, act: Callable[[], None]) -> None:
+    def on_finishing(self, act: Callable[[], None]) -> None:
         """Call back when a planned stop takes no new requests any more."""
         self._at_finishing.append(act)
 
-    def at_configured(self, act: Callable[[EffectiveTree], None]) -> None:
+    def on_configured(self, act: Callable[[EffectiveTree], None]) -> None:
         """Call back with each tree that comes into force."""
         self._at_configured.append(act)
 
@@ -255,7 +257,7 @@
         logger.info("settings reloaded", extra={"seeds": settings.seeds})
         self._greet()
 
-    def ask_stop(self) -> None:
+    def request_stop(self) -> None:
         """Begin a planned stop; asked again it cuts nothing."""
         self._stop.ask(self._now())
         self._beat()
@@ -338,13 +340,13 @@
     def _tick(self) -> None:
         now_seconds = self._now()
         if self._own.has_disk:
-            self._log.know_replicas(
+            self._log.set_replicas(
                 self._roster.log_peer_ids(self._log.is_empty()),
                 may_found=self._roster.may_found(),
             )
             self._log.set_wanted_voters(self._log.succession(now_seconds))
             self._log.tick(now_seconds)
-        for peer_id in self._links.redial_unheard(now_seconds):
+        for peer_id in self._links.redial_silent_peers(now_seconds):
             self._introduce(peer_id)
         self._tree.tick()
         load = StopLoad(self.tally.open_calls, 0, 0)
@@ -473,7 +475,7 @@
                 "an earlier process had a higher number", extra={"of": heard}
             )
 
-    def _log_target(self, row: HeartbeatRow, before: KnownTarget | None) -> None:
+    def _log_target(self, row: HeartbeatRow, before: HeartbeatEntry | None) -> None:
         was_cold = before is not None and before.row.cold_milliseconds > 0
         text = "target changed"
         if row.cold_milliseconds:
@@ -493,7 +495,9 @@
         )
 
 
-def make_node(settings: DaemonSettings, source: str, edge: Edge) -> Node:
+def make_gateway_node(
+    settings: DaemonSettings, source: str, edge: WireAdapter
+) -> GatewayNode:
     """Return an instance that is not started yet.
 
     Args:
@@ -501,4 +505,4 @@
         source: The file that they came from, for errors.
         edge: How callers and targets speak.
     """
-    return Node(settings, source, edge)
+    return GatewayNode(settings, source, edge)
--- a/sesameford/gateway/load_report.py
+++ b/sesameford/gateway/load_report.py
@@ -24,7 +24,7 @@
         self._last_places: tuple[TargetLoad, ...] = ()
         self._next_seconds = 0.0
         self._at_latest_seconds = 0.0
-        self._heard_at_seconds = float("-inf")
+        self._last_seen_at_seconds = float("-inf")
 
     def may_report(self, now_seconds: float) -> bool:
         """Return whether a report can be due, before anything is worked out for it."""
@@ -50,7 +50,7 @@
         if fleet.is_whole:
             self.routers = max(fleet.routers, 1)
         self._direct_routers = max(fleet.direct_routers, 1)
-        self._heard_at_seconds = now_seconds
+        self._last_seen_at_seconds = now_seconds
 
     def is_alone(self, now_seconds: float) -> bool:
         """Return whether a router has had no sums for so long that it is cut off."""
@@ -58,7 +58,7 @@
 
     def age_seconds(self, now_seconds: float) -> float:
         """Return how old the sums of the fleet are at this router."""
-        return now_seconds - self._heard_at_seconds
+        return now_seconds - self._last_seen_at_seconds
 
     def at_least_seconds(self) -> float:
         """Return how often something is reported in any case."""
--- a/sesameford/gateway/load_system.py
+++ b/sesameford/gateway/load_system.py
@@ -99,13 +99,13 @@
         )
         state = self._state()
         if state is not None and fleet.used:
-            self._placement.take_used(fleet.used, state.tree.services)
-        self._placement.take_failing(fleet.failing)
+            self._placement.record_used_parts(fleet.used, state.tree.services)
+        self._placement.set_failing_targets(fleet.failing)
         if fleet.is_whole:
             self._whole_at_seconds = now_seconds
         whole_age_seconds = now_seconds - self._whole_at_seconds
         if fleet.is_whole or whole_age_seconds > REPORT_VALID_SECONDS:
-            self._placement.take_others(fleet.target_loads)
+            self._placement.set_other_routers_load(fleet.target_loads)
             self.gate.take(fleet.shares)
 
     def received(self, router_id: str, load: RouterLoad, now_seconds: float) -> None:
--- a/sesameford/gateway/own_answer.py
+++ b/sesameford/gateway/own_answer.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 from sesameford.early_answers import EarlyAnswer
-from sesameford.gateway.call_context import GatewayDeps, Refusal, Run
+from sesameford.gateway.call_context import CallContext, GatewayDeps, Refusal
 from sesameford.gateway.call_log import log_refusal
 from sesameford.gateway.calls import Call
 
@@ -49,7 +49,7 @@
 def refuse(
     deps: GatewayDeps,
     call: Call | None,
-    run: Run | None,
+    run: CallContext | None,
     refusal: Refusal,
     arrived_at_seconds: float,
 ) -> OwnAnswer:
--- a/sesameford/gateway/placement.py
+++ b/sesameford/gateway/placement.py
@@ -5,7 +5,11 @@
 from functools import partial
 from random import Random
 
-from sesameford.discovery.heartbeat_table import BeatTable, KnownTarget, short_name
+from sesameford.discovery.heartbeat_table import (
+    HeartbeatEntry,
+    HeartbeatTable,
+    short_name,
+)
 from sesameford.effective import EffectiveTree, ServiceSettings
 from sesameford.gateway.calls import Prompt
 from sesameford.gateway.candidates import make_candidates
@@ -21,7 +25,7 @@
     options_for,
     queue_seconds,
 )
-from sesameford.gateway.target_record import Lease, Place
+from sesameford.gateway.target_record import Reservation, TargetRecord
 from sesameford.load_messages import (
     FailingTarget,
     TargetLoad,
@@ -84,7 +88,7 @@
 
     def __init__(
         self,
-        table: BeatTable,
+        table: HeartbeatTable,
         data_centre: str,
         beat_seconds: float,
         random: Random,
@@ -95,7 +99,7 @@
         self._random = random
         self._data_centre = data_centre
         self._beat_seconds = beat_seconds
-        self._places: dict[str, Place] = {}
+        self._places: dict[str, TargetRecord] = {}
         self._leases = 0
         self._hold_seconds = FIRST_HOLD_SECONDS
         self._began_at_seconds: dict[int, float] = {}
@@ -122,7 +126,7 @@
         tried: frozenset[str],
         now_seconds: float,
         homes: frozenset[str] | None = None,
-    ) -> Lease | None:
+    ) -> Reservation | None:
         """Return where to send a request, counted there at once, or None.
 
         Args:
@@ -204,7 +208,7 @@
     def _best_option(
         self,
         prompt: Prompt,
-        usable: list[KnownTarget],
+        usable: list[HeartbeatEntry],
         engine: ServiceSettings,
         objective_seconds: float,
         now_seconds: float,
@@ -226,13 +230,13 @@
         options = options_for(prompt, places, engine, self._random, permitted)
         return min(options, key=cost)
 
-    def heard(self, lease: Lease, now_seconds: float) -> None:
+    def heard(self, lease: Reservation, now_seconds: float) -> None:
         """Note that something of an answer came from a target."""
         place = self._place(lease.target_id)
-        place.heard_at_seconds = now_seconds
+        place.last_seen_at_seconds = now_seconds
         place.unanswered.pop(lease.number, None)
 
-    def first_event(self, lease: Lease, now_seconds: float) -> None:
+    def first_event(self, lease: Reservation, now_seconds: float) -> None:
         """Note that a request's prompt has been read."""
         backlog = self._place(lease.target_id).backlog
         backlog.read(lease.number)
@@ -252,12 +256,12 @@
             took_seconds = min(max(took_seconds, 0.0), MOST_FIXED_SECONDS)
             self._fixed_seconds += FIXED_GAIN * (took_seconds - self._fixed_seconds)
 
-    def is_lost(self, lease: Lease, now_seconds: float) -> bool:
+    def is_lost(self, lease: Reservation, now_seconds: float) -> bool:
         """Return whether a request's answer was due long ago and nothing came."""
         waiting = self._place(lease.target_id).unanswered.get(lease.number)
         return waiting is not None and now_seconds > waiting[1] + LOST_SECONDS
 
-    def released(self, lease: Lease, now_seconds: float) -> None:
+    def released(self, lease: Reservation, now_seconds: float) -> None:
         """Give back a request's share of its target.
 
         One that ends while its target is silent leaves the target to rest; forgotten,
@@ -287,7 +291,7 @@
         place.failures = 0
         place.answered += 1
 
-    def ran(self, service: str, lease: Lease, now_seconds: float) -> None:
+    def ran(self, service: str, lease: Reservation, now_seconds: float) -> None:
         """Learn how long a plain service works on a request."""
         took_seconds = (now_seconds - lease.sent_at_seconds) / max(lease.fullness, 1.0)
         before_seconds = self._work_seconds.get(service, took_seconds)
@@ -312,7 +316,7 @@
         )
         return PlainQueue(work_seconds * max(fullness, 1.0), work_seconds)
 
-    def answered_badly(self, target_id: str) -> None:
+    def record_bad_answer(self, target_id: str) -> None:
         """Note that a target failed a request that it took."""
         self._place(target_id).failed += 1
 
@@ -383,7 +387,7 @@
                 place.answered = place.failed = 0
         return tuple(rows)
 
-    def take_failing(self, rows: Iterable[FailingTarget]) -> None:
+    def set_failing_targets(self, rows: Iterable[FailingTarget]) -> None:
         """Take which targets fail part of what the fleet sends them."""
         parts = {row.name: row.failed_part for row in rows}
         for target_id, place in self._places.items():
@@ -394,7 +398,7 @@
         known = ((self._table.by_name(row.name), row.failed_part) for row in rows)
         return {one.row.target_id: part for one, part in known if one is not None}
 
-    def take_used(
+    def record_used_parts(
         self, rows: Iterable[UsedParts], engines: Mapping[str, ServiceSettings]
     ) -> None:
         """Take what other routers have sent to engines.
@@ -412,7 +416,7 @@
             memory_tokens = engine.cache_tokens if engine else None
             self._place(known.row.target_id).memory.take(row, memory_tokens)
 
-    def take_others(self, loads: Iterable[TargetLoad]) -> None:
+    def set_other_routers_load(self, loads: Iterable[TargetLoad]) -> None:
         """Take what all other routers have under way, by target."""
         self._mean_waits.clear()
         by_name = {load.name: load for load in loads}
@@ -428,8 +432,8 @@
             del self._places[target_id]
 
     def _usable(
-        self, found: list[KnownTarget], now_seconds: float
-    ) -> list[KnownTarget]:
+        self, found: list[HeartbeatEntry], now_seconds: float
+    ) -> list[HeartbeatEntry]:
         """Return those that beat and don't rest, or the best of what there is.
 
         A router that hears no replica hears of no beats either. Its targets may all
@@ -439,7 +443,7 @@
         heard = [
             known
             for known in found
-            if now_seconds - known.heard_at_seconds < silent_seconds
+            if now_seconds - known.last_seen_at_seconds < silent_seconds
         ] or found
         rested = [
             known
@@ -453,21 +457,21 @@
         ]
         return answering or rested or heard
 
-    def _place(self, target_id: str) -> Place:
+    def _place(self, target_id: str) -> TargetRecord:
         place = self._places.get(target_id)
         if place is None:
             backlog = make_engine_backlog(self._kind_rate)
-            place = self._places[target_id] = Place(backlog=backlog)
+            place = self._places[target_id] = TargetRecord(backlog=backlog)
         return place
 
-    def _plain_lease(self, known: KnownTarget, now_seconds: float) -> Lease:
+    def _plain_lease(self, known: HeartbeatEntry, now_seconds: float) -> Reservation:
         """Count a request at a plain service."""
         row = known.row
         place = self._place(row.target_id)
         place.requests += 1
         fullness = place.all_requests(now_seconds) / max(row.slots, 1)
         number = self._open(place, now_seconds, now_seconds)
-        return Lease(
+        return Reservation(
             row.target_id,
             row.address,
             number,
@@ -476,7 +480,7 @@
         )
 
     def _open(
-        self, place: Place, now_seconds: float, expected_at_seconds: float
+        self, place: TargetRecord, now_seconds: float, expected_at_seconds: float
     ) -> int:
         """Remember a request until something of its answer comes."""
         self._leases += 1
@@ -489,7 +493,7 @@
         prompt: Prompt,
         engine: ServiceSettings,
         now_seconds: float,
-    ) -> Lease:
+    ) -> Reservation:
         """Count a request at an engine."""
         slots = engine.batch_slots or 1
         row = option.known.row
@@ -499,7 +503,7 @@
         expected_seconds += backlog.read_seconds(option.unread_tokens)
         expected_seconds += self._fixed_seconds
         number = self._open(place, now_seconds, now_seconds + expected_seconds)
-        lease = Lease(
+        lease = Reservation(
             row.target_id,
             row.address,
             number,
@@ -518,7 +522,9 @@
         place.memory.sent(prompt, engine.cache_tokens)
         return lease
 
-    def _plain_cost(self, now_seconds: float, known: KnownTarget) -> tuple[float, int]:
+    def _plain_cost(
+        self, now_seconds: float, known: HeartbeatEntry
+    ) -> tuple[float, int]:
         place = self._place(known.row.target_id)
         requests = place.all_requests(now_seconds)
         far = 0.0 if known.row.data_centre == self._data_centre else FAR_REQUESTS
@@ -527,7 +533,7 @@
 
 
 def make_placement(
-    table: BeatTable,
+    table: HeartbeatTable,
     data_centre: str,
     beat_seconds: float,
     random: Random,
--- a/sesameford/gateway/serve.py
+++ b/sesameford/gateway/serve.py
@@ -9,13 +9,13 @@
 from sesameford.gateway.admit import begin, decide
 from sesameford.gateway.call_context import (
     RETRY_AFTER_SECONDS,
+    CallContext,
     CutError,
     GatewayDeps,
     Refusal,
-    Run,
 )
 from sesameford.gateway.call_log import log_end, log_failure
-from sesameford.gateway.calls import Headers, Sending
+from sesameford.gateway.calls import Headers, SendAttempt
 from sesameford.gateway.candidates import Nowhere
 from sesameford.gateway.early_decision import EarlyCall, read_call
 from sesameford.gateway.forward import (
@@ -26,7 +26,7 @@
     body_until,
 )
 from sesameford.gateway.own_answer import refuse
-from sesameford.gateway.target_record import Lease
+from sesameford.gateway.target_record import Reservation
 
 # Targets to which no connection comes about, before a call is given up: each costs up
 # to the time to connect.
@@ -76,7 +76,7 @@
 
 
 async def _run_to_answer(
-    deps: GatewayDeps, http: web.BaseRequest, run: Run
+    deps: GatewayDeps, http: web.BaseRequest, run: CallContext
 ) -> web.StreamResponse:
     """Send a call to one target after another until there is an answer.
 
@@ -95,7 +95,7 @@
                 raise _final(run, error) from error
 
 
-def _place(deps: GatewayDeps, run: Run) -> Lease:
+def _place(deps: GatewayDeps, run: CallContext) -> Reservation:
     """Choose a target.
 
     Raises:
@@ -123,7 +123,7 @@
 
 
 async def _send_once(
-    deps: GatewayDeps, http: web.BaseRequest, run: Run, lease: Lease
+    deps: GatewayDeps, http: web.BaseRequest, run: CallContext, lease: Reservation
 ) -> web.StreamResponse:
     """Send a call to one target and pass its answer on.
 
@@ -140,7 +140,7 @@
     resume_after = run.call.resume_after
     if run.passed is not None and run.passed.last_event_id >= 0:
         resume_after = str(run.passed.last_event_id)
-    sending = Sending(
+    sending = SendAttempt(
         lease.target_id, run.customer, left_seconds, resume_after, lease.copy_from
     )
 
@@ -171,8 +171,8 @@
 async def _pass_on(
     deps: GatewayDeps,
     http: web.BaseRequest,
-    run: Run,
-    lease: Lease,
+    run: CallContext,
+    lease: Reservation,
     exchange: Exchange,
 ) -> web.StreamResponse:
     head = exchange.head
@@ -190,15 +190,15 @@
     return answer
 
 
-def _is_last(run: Run) -> bool:
+def _is_last(run: CallContext) -> bool:
     return run.sendings >= run.route.attempts
 
 
 async def _pass_stream(
     deps: GatewayDeps,
     http: web.BaseRequest,
-    run: Run,
-    lease: Lease,
+    run: CallContext,
+    lease: Reservation,
     exchange: Exchange,
 ) -> web.StreamResponse:
     """Pass events on as they come; only whole ones where it may be resumed."""
@@ -230,7 +230,7 @@
 
 
 async def _write(
-    http: web.BaseRequest, run: Run, response: web.StreamResponse, data: bytes
+    http: web.BaseRequest, run: CallContext, response: web.StreamResponse, data: bytes
 ) -> None:
     """Write to the caller; one who left is the end of the call."""
     try:
@@ -243,7 +243,9 @@
         raise asyncio.CancelledError from error
 
 
-def _judge(deps: GatewayDeps, run: Run, lease: Lease, error: SendingError) -> None:
+def _judge(
+    deps: GatewayDeps, run: CallContext, lease: Reservation, error: SendingError
+) -> None:
     """Note what a failed sending shows of its target and of the call."""
     if error.fate in (Fate.NEVER_SENT, Fate.LOST, Fate.WRONG_TARGET):
         deps.placement.failed(lease.target_id, deps.now())
@@ -257,7 +259,7 @@
         run.passed.drop_partial()
 
 
-def _note_begin(deps: GatewayDeps, run: Run) -> None:
+def _note_begin(deps: GatewayDeps, run: CallContext) -> None:
     """Note how long a caller waited for its answer to begin.
 
     Where a target failed before, that says nothing of how long prompts wait.
@@ -266,14 +268,14 @@
         deps.gate.timeliness.began(run.first_event_seconds, run.route.objective_seconds)
 
 
-def _note_failed(deps: GatewayDeps, run: Run, lease: Lease) -> None:
+def _note_failed(deps: GatewayDeps, run: CallContext, lease: Reservation) -> None:
     """Note a request that its target took and failed."""
-    deps.placement.answered_badly(lease.target_id)
+    deps.placement.record_bad_answer(lease.target_id)
     if run.call.prompt is not None and run.first_event_seconds is None:
         deps.gate.failed(run.call.prompt.cost_tokens)
 
 
-def _may_send_again(deps: GatewayDeps, run: Run, error: SendingError) -> bool:
+def _may_send_again(deps: GatewayDeps, run: CallContext, error: SendingError) -> bool:
     """Return whether a call goes to another target after a failure."""
     if error.fate is Fate.TIMEOUT or _is_last(run):
         return False
@@ -290,7 +292,7 @@
     return deps.second_sends.allowed(run.service, deps.routers(), deps.now())
 
 
-def _final(run: Run, error: SendingError) -> Exception:
+def _final(run: CallContext, error: SendingError) -> Exception:
     """Return the end of a call that has no whole answer."""
     if run.response is not None:
         return CutError(run, error.detail)
--- a/sesameford/gateway/target_record.py
+++ b/sesameford/gateway/target_record.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class Place:
+class TargetRecord:
     """A target's work, answers and failures.
 
     ``requests`` are this router's under way, ``others_requests`` those of all others.
@@ -30,7 +30,7 @@
     memory: EngineMemory = field(default_factory=make_engine_memory)
     failures: int = 0
     rests_until_seconds: float = 0.0
-    heard_at_seconds: float = float("-inf")
+    last_seen_at_seconds: float = float("-inf")
     unanswered: dict[int, tuple[float, float]] = field(default_factory=dict)
     answered: int = 0
     failed: int = 0
@@ -56,12 +56,12 @@
         """
         for sent_at_seconds, due_at_seconds in self.unanswered.values():
             is_overdue = now_seconds > due_at_seconds + OVERDUE_SECONDS
-            return is_overdue and self.heard_at_seconds < sent_at_seconds
+            return is_overdue and self.last_seen_at_seconds < sent_at_seconds
         return False
 
 
 @dataclass(frozen=True, slots=True)
-class Lease:
+class Reservation:
     """One request's share of a target's work, to be given back by ``released``.
 
     ``tokens`` are to be read for it and ``ahead_tokens`` before it;
--- a/sesameford/http_ports.py
+++ b/sesameford/http_ports.py
@@ -108,7 +108,7 @@
     calls: web.Server
     server: Listener
 
-    def take_no_more(self) -> None:
+    def stop_accepting(self) -> None:
         """Take no new connection, and end each kept one when its request is answered.
 
         Callers go on using the connections that they have until somebody ends them,
--- a/sesameford/inbox.py
+++ b/sesameford/inbox.py
@@ -29,9 +29,9 @@
 )
 from sesameford.order_service import OrderService
 from sesameford.outcomes import Outcomes
-from sesameford.owner_queries import OwnerWords
+from sesameford.owner_queries import OwnerQueries
 from sesameford.router import Router
-from sesameford.target_replication import TargetSpread
+from sesameford.target_replication import TargetReplication
 from sesameford.tree_holder import TreeHolder
 
 _TARGET_MESSAGES = (
@@ -49,12 +49,12 @@
     """The parts of an instance that messages are for."""
 
     members: Members
-    targets: TargetSpread
+    targets: TargetReplication
     send_target_messages: Callable[[], None]
     tree: TreeHolder
     log: LogService
     outcomes: Outcomes
-    words: OwnerWords
+    words: OwnerQueries
     keyed: KeyedRequests
     orders: OrderService
     router: Router
@@ -97,7 +97,7 @@
 
 
 def _take_target_message(
-    targets: TargetSpread, sender_id: str, message: Message, now_seconds: float
+    targets: TargetReplication, sender_id: str, message: Message, now_seconds: float
 ) -> bool:
     """Take news of targets; return whether the table of targets may have changed."""
     match message:
--- a/sesameford/independent.py
+++ b/sesameford/independent.py
@@ -16,7 +16,7 @@
 from sesameford.errors import NotRunError
 from sesameford.messages import Message, Outgoing
 from sesameford.scheduling import Scheduler
-from sesameford.tables import Attempt, Instance, Outcome, Request, Target, Usage
+from sesameford.tables import Attempt, InstanceRow, Outcome, Request, Target, Usage
 
 FULL_QUEUE_RETRY_SECONDS = 1.0
 
@@ -55,7 +55,7 @@
         self._targets = targets
 
     def observe_instances(
-        self, instances: Mapping[str, Instance], now_seconds: float
+        self, instances: Mapping[str, InstanceRow], now_seconds: float
     ) -> None:
         self._instances = 1 + len(instances)
 
--- a/sesameford/instance.py
+++ b/sesameford/instance.py
@@ -20,7 +20,7 @@
 from sesameford.fencing import FencingMachine
 from sesameford.http_ports import listen, make_session
 from sesameford.inbox import InboxDeps, make_inbox
-from sesameford.instance_status import OwnStanding, make_status, quarantine_of
+from sesameford.instance_status import InstanceSummary, make_status, quarantine_of
 from sesameford.keyed import KeyedPorts, KeyedRequests
 from sesameford.link_key import load_link_key
 from sesameford.log_service import make_log_service
@@ -31,7 +31,7 @@
 from sesameford.order_service import OrderDeps, make_order_service
 from sesameford.outcomes import Outcomes
 from sesameford.overlay import make_overlay, make_topology
-from sesameford.owner_queries import OwnerWords
+from sesameford.owner_queries import OwnerQueries
 from sesameford.peers import PeerLinks
 from sesameford.planned_stop import PlannedStop
 from sesameford.processor_time import ProcessorTime
@@ -44,7 +44,7 @@
 from sesameford.status import StatusReport
 from sesameford.stops import StopLoad, StopStep
 from sesameford.tables import InstanceState
-from sesameford.target_replication import make_target_spread
+from sesameford.target_replication import make_target_replication
 from sesameford.targets import TargetRegistry
 from sesameford.tls import (
     TlsFiles,
@@ -91,7 +91,7 @@
         self.metrics = Metrics()
         self.registry = TargetRegistry()
         hub_ids = [peer.instance_id for peer in settings.peers if peer.is_hub]
-        self.targets = make_target_spread(
+        self.targets = make_target_replication(
             self.registry,
             settings.instance_id,
             self.incarnation,
@@ -156,7 +156,7 @@
             seed=crc32(settings.instance_id.encode()) ^ self.incarnation,
             renew=self._new_machines,
         )
-        self._words = OwnerWords(settings.instance_id, self._send)
+        self._words = OwnerQueries(settings.instance_id, self._send)
         self.outcomes = Outcomes(
             crc32(settings.instance_id.encode()) ^ self.incarnation, self._send
         )
@@ -245,7 +245,7 @@
         ]
         logger.info("started", extra={"incarnation": self.incarnation})
 
-    def ask_stop(self) -> None:
+    def request_stop(self) -> None:
         """Begin a planned stop; asked again it cuts nothing."""
         self._stop.ask(self._now())
         self._tell_stop()
@@ -410,7 +410,7 @@
         return left
 
     def _status(self) -> StatusReport:
-        own = OwnStanding(
+        own = InstanceSummary(
             self._settings.instance_id,
             self._settings.data_centre,
             self._state(),
--- a/sesameford/instance_status.py
+++ b/sesameford/instance_status.py
@@ -3,8 +3,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from sesameford.log_status import LogStatus as ReplicaStatus
-from sesameford.members import HEARD_WITHIN_SECONDS
+from sesameford.log_status import ReplicaLogStatus
+from sesameford.members import LIVENESS_TIMEOUT_SECONDS
 from sesameford.settings import Peer
 from sesameford.status import (
     InstanceStatus,
@@ -14,13 +14,13 @@
     TargetStatus,
 )
 from sesameford.suspects import Suspects
-from sesameford.tables import Instance, InstanceState, Target
+from sesameford.tables import InstanceRow, InstanceState, Target
 
 _LEARNER_ROLE = "learner"
 
 
 @dataclass(frozen=True, slots=True)
-class OwnStanding:
+class InstanceSummary:
     """What an instance knows of itself."""
 
     instance_id: str
@@ -30,12 +30,12 @@
 
 
 def make_status(
-    own: OwnStanding,
+    own: InstanceSummary,
     peers: Sequence[Peer],
-    heard: Sequence[Instance],
+    heard: Sequence[InstanceRow],
     targets: Sequence[Target],
     running: dict[str, int],
-    replica: ReplicaStatus,
+    replica: ReplicaLogStatus,
     now_seconds: float,
     quarantine: tuple[QuarantineStatus, ...] = (),
     evacuated: frozenset[str] = frozenset(),
@@ -93,7 +93,7 @@
     )
 
 
-def _roles(own: OwnStanding, replica: ReplicaStatus) -> dict[str, str]:
+def _roles(own: InstanceSummary, replica: ReplicaLogStatus) -> dict[str, str]:
     """Return the roles of the other replicas, as far as they are known here."""
     roles = {
         member.instance_id: "follower" if member.voter else _LEARNER_ROLE
@@ -105,21 +105,21 @@
 
 
 def _peer_status(
-    peer: Peer, one: Instance | None, role: str, now_seconds: float
+    peer: Peer, one: InstanceRow | None, role: str, now_seconds: float
 ) -> InstanceStatus:
     """Return the line of another instance."""
     if one is None:
         return InstanceStatus(
             peer.instance_id, peer.data_centre, None, None, None, False, role
         )
-    ago_seconds = now_seconds - one.heard_at_seconds
+    ago_seconds = now_seconds - one.last_seen_at_seconds
     return InstanceStatus(
         peer.instance_id,
         peer.data_centre,
         one.state,
         one.revision,
         ago_seconds,
-        ago_seconds <= HEARD_WITHIN_SECONDS,
+        ago_seconds <= LIVENESS_TIMEOUT_SECONDS,
         role,
     )
 
@@ -140,7 +140,7 @@
     )
 
 
-def _log_status(replica: ReplicaStatus) -> LogStatus:
+def _log_status(replica: ReplicaLogStatus) -> LogStatus:
     """Return the log's part of the answer."""
     has_quorum = None
     if replica.role == "leader":
--- a/sesameford/keyed.py
+++ b/sesameford/keyed.py
@@ -40,7 +40,7 @@
 UNANSWERED_ASKS = 8
 
 
-class RunStanding(StrEnum):
+class RunState(StrEnum):
     """What an owner says of a claim that it holds or held."""
 
     RUNNING = "running"
@@ -50,10 +50,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwnerWord:
+class OwnerReply:
     """An owner's answer to a router that asks after a claim."""
 
-    standing: RunStanding
+    standing: RunState
     answer: ClaimAnswer | None = None
 
 
@@ -86,7 +86,7 @@
     """
 
     propose: Propose
-    ask: Callable[[ClaimOwner, int], Awaitable[OwnerWord | None]]
+    ask: Callable[[ClaimOwner, int], Awaitable[OwnerReply | None]]
     sleep: Callable[[float], Awaitable[None]]
     now_seconds: Callable[[], float]
 
@@ -132,20 +132,20 @@
         """Return the time that deadlines of keyed requests count in."""
         return self._ports.now_seconds()
 
-    def word_on(self, owner: ClaimOwner, claim_index: int) -> OwnerWord:
+    def word_on(self, owner: ClaimOwner, claim_index: int) -> OwnerReply:
         """Answer a router that asks after a claim under this router's name."""
         if (owner.router_id, owner.incarnation) != (self._router_id, self._incarnation):
-            return OwnerWord(RunStanding.LOST)
+            return OwnerReply(RunState.LOST)
         if claim_index in self._kept:
-            return OwnerWord(RunStanding.KEPT, self._kept[claim_index])
+            return OwnerReply(RunState.KEPT, self._kept[claim_index])
         if claim_index in self._started:
             ended = self._started[claim_index] is not None
-            return OwnerWord(RunStanding.LOST if ended else RunStanding.RUNNING)
+            return OwnerReply(RunState.LOST if ended else RunState.RUNNING)
         if owner.request_id in self._claiming:
-            return OwnerWord(RunStanding.RUNNING)
+            return OwnerReply(RunState.RUNNING)
         # Nothing is started without an entry, and an entry goes only once the log
         # has its end. Where it ended meanwhile, the log refuses the take-over.
-        return OwnerWord(RunStanding.NEVER_STARTED)
+        return OwnerReply(RunState.NEVER_STARTED)
 
     async def serve(self, request: KeyedRequest, run: Run) -> ClaimAnswer | None:
         """Run a keyed request, or find out what became of its key.
@@ -179,7 +179,7 @@
                 return None
             if reply.verdict is ClaimVerdict.JOIN:
                 word = await self._join(request, reply)
-                if word.standing is RunStanding.KEPT:
+                if word.standing is RunState.KEPT:
                     return word.answer
                 takeovers += 1
                 command = TakeOver(
@@ -304,7 +304,7 @@
         self._settling.add(task)
         task.add_done_callback(self._settling.discard)
 
-    async def _join(self, request: KeyedRequest, reply: ClaimReply) -> OwnerWord:
+    async def _join(self, request: KeyedRequest, reply: ClaimReply) -> OwnerReply:
         """Wait for another's run of the same key.
 
         Returns:
@@ -318,12 +318,12 @@
                 unanswered += 1
                 if unanswered < UNANSWERED_ASKS:
                     continue
-                word = OwnerWord(RunStanding.LOST)
-            if word.standing is RunStanding.RUNNING:
+                word = OwnerReply(RunState.LOST)
+            if word.standing is RunState.RUNNING:
                 unanswered = 0
                 await self._ports.sleep(ASK_AGAIN_SECONDS)
                 continue
-            if word.standing is RunStanding.LOST and not request.repeatable:
+            if word.standing is RunState.LOST and not request.repeatable:
                 raise UnknownOutcomeError(
                     "key-may-have-run",
                     "the router that ran this key is lost; it ran or may have run",
@@ -334,7 +334,7 @@
             "key-still-running", "another request with this key still runs", status=409
         )
 
-    async def _ask(self, owner: ClaimOwner, claim_index: int) -> OwnerWord | None:
+    async def _ask(self, owner: ClaimOwner, claim_index: int) -> OwnerReply | None:
         if owner.router_id == self._router_id:
             return self.word_on(owner, claim_index)
         return await self._ports.ask(owner, claim_index)
--- a/sesameford/leased.py
+++ b/sesameford/leased.py
@@ -28,8 +28,8 @@
 from sesameford.router_state import RouterState
 from sesameford.scheduling import Scheduler
 from sesameford.slot_messages import ShareReport, SlotGrants
-from sesameford.tables import Attempt, Instance, Outcome, Request, Target, Usage
-from sesameford.windows import Pace
+from sesameford.tables import Attempt, InstanceRow, Outcome, Request, Target, Usage
+from sesameford.windows import CompletionTotals
 
 _FOLLOW_SECONDS = 0.1
 _EXCHANGE_ROUNDS = 4
@@ -97,7 +97,7 @@
         self._follow(now_seconds)
 
     def observe_instances(
-        self, instances: Mapping[str, Instance], now_seconds: float
+        self, instances: Mapping[str, InstanceRow], now_seconds: float
     ) -> None:
         """Take the present table of other instances."""
         self._election.observe(dict(instances))
@@ -314,8 +314,10 @@
             self._estimates.learn(row.request, used)
             busy_seconds = now_seconds - row.attempt.started_at_seconds
             target_id = row.attempt.target_id
-            pace = self._state.paces.get(target_id, Pace())
-            self._state.paces[target_id] = pace.plus(Pace(1, used, busy_seconds))
+            pace = self._state.paces.get(target_id, CompletionTotals())
+            self._state.paces[target_id] = pace.plus(
+                CompletionTotals(1, used, busy_seconds)
+            )
 
     def retried(
         self, attempt_id: str, avoid_target_id: str | None, now_seconds: float
--- a/sesameford/leases.py
+++ b/sesameford/leases.py
@@ -56,7 +56,7 @@
     sent_at_seconds: float
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Gets and keeps one lease; made by the ``make_`` functions below.
 
     Args:
@@ -206,12 +206,12 @@
         return None
 
 
-def make_lease_keeper(
+def make_lease_manager(
     name: str,
     holder: str,
     order_deadline_seconds: float,
     lease_seconds: float = LEASE_SECONDS,
-) -> LeaseKeeper:
+) -> LeaseManager:
     """Return the keeper of one named lease.
 
     Args:
@@ -222,7 +222,7 @@
         lease_seconds: How long a lease holds from its last renewal; the same at
             all holders.
     """
-    return LeaseKeeper(
+    return LeaseManager(
         lambda waited_out: Acquire(name, holder, waited_out),
         holder,
         order_deadline_seconds,
@@ -230,13 +230,13 @@
     )
 
 
-def make_slot_keeper(
+def make_slot_lease_manager(
     group: str,
     slots: Callable[[], int],
     holder: str,
     order_deadline_seconds: float,
     lease_seconds: float = LEASE_SECONDS,
-) -> LeaseKeeper:
+) -> LeaseManager:
     """Return the keeper of any one slot of a group, such as the weight store's.
 
     Args:
@@ -246,7 +246,7 @@
         order_deadline_seconds: After this an order is given up.
         lease_seconds: How long a lease holds from its last renewal.
     """
-    return LeaseKeeper(
+    return LeaseManager(
         lambda waited_out: AcquireSlot(group, slots(), holder, waited_out),
         holder,
         order_deadline_seconds,
--- a/sesameford/links.py
+++ b/sesameford/links.py
@@ -21,7 +21,7 @@
     SlotGrants,
     VirtualTimeRow,
 )
-from sesameford.windows import Pace
+from sesameford.windows import CompletionTotals
 
 LEASE_SECONDS = 2.0
 # An allocator that has not answered until so little of the lease is left is given up.
@@ -74,8 +74,8 @@
     reported_served: dict[Account, float] = field(default_factory=dict)
     reported_demands: dict[DemandKey, Demand] = field(default_factory=dict)
     reported_holdings: dict[str, int] = field(default_factory=dict)
-    reported_paces: dict[str, Pace] = field(default_factory=dict)
-    pace_base: dict[str, Pace] = field(default_factory=dict)
+    reported_paces: dict[str, CompletionTotals] = field(default_factory=dict)
+    pace_base: dict[str, CompletionTotals] = field(default_factory=dict)
 
     def holds(self, now_seconds: float) -> bool:
         """Return whether the lease on the holdings still runs."""
@@ -209,13 +209,15 @@
             rows.setdefault(key[0], []).append(row)
         return rows
 
-    def pace_rows(self, paces: Mapping[str, Pace]) -> tuple[CompletionTotalsRow, ...]:
+    def pace_rows(
+        self, paces: Mapping[str, CompletionTotals]
+    ) -> tuple[CompletionTotalsRow, ...]:
         """Return the completions since the term began that grew by enough."""
         rows = []
         for target_id, pace in paces.items():
             base = self.pace_base.setdefault(target_id, pace)
             since = pace.minus(base)
-            reported = self.reported_paces.get(target_id, Pace())
+            reported = self.reported_paces.get(target_id, CompletionTotals())
             if since.completions - reported.completions < _COMPLETIONS_REPORTED:
                 continue
             self.reported_paces[target_id] = since
@@ -288,7 +290,7 @@
     incarnation: int
     term: int
     opened_at_seconds: float
-    heard_at_seconds: float
+    last_seen_at_seconds: float
     acknowledged_report: int = 0
     acknowledged_grants: int = 0
     sequence: int = 0
@@ -308,7 +310,7 @@
     place_slots: dict[str, int] = field(default_factory=dict)
     reported_fractions: dict[str, float] = field(default_factory=dict)
     wanted: dict[str, float] = field(default_factory=dict)
-    paces: dict[str, Pace] = field(default_factory=dict)
+    paces: dict[str, CompletionTotals] = field(default_factory=dict)
 
     @property
     def is_place(self) -> bool:
@@ -322,7 +324,7 @@
         them can run on for as long again.
         """
         lease = LEASE_SECONDS * (2.0 if self.is_place else 1.0)
-        return now_seconds > self.heard_at_seconds + lease * 1.05
+        return now_seconds > self.last_seen_at_seconds + lease * 1.05
 
     def accept(self, report: ShareReport, now_seconds: float) -> bool:
         """Check a report's number; False for one from the past."""
@@ -343,7 +345,7 @@
             # The last answer seems lost, and the holder's lease runs on answers.
             self.urgent = True
         self.acknowledged_report = report.sequence
-        self.heard_at_seconds = now_seconds
+        self.last_seen_at_seconds = now_seconds
         self.acknowledged_grants = max(
             self.acknowledged_grants, report.acknowledged_grants
         )
--- a/sesameford/log_proposer.py
+++ b/sesameford/log_proposer.py
@@ -39,7 +39,7 @@
         self._pending: dict[str, PendingProposal] = {}
         self.leader_hint: str | None = None
 
-    def know_replicas(self, replica_ids: tuple[str, ...]) -> None:
+    def set_replicas(self, replica_ids: tuple[str, ...]) -> None:
         """Take other instances to ask, where they are found as they come."""
         self._replica_ids = replica_ids
 
--- a/sesameford/log_replication.py
+++ b/sesameford/log_replication.py
@@ -16,8 +16,8 @@
     APPEND_LIMIT_BYTES,
     IN_FLIGHT_ENTRIES,
     Core,
+    FollowerProgress,
     IncomingSnapshot,
-    Progress,
     Role,
     SnapshotImage,
     append_entry,
@@ -31,7 +31,7 @@
     others = core.others
     for member in others:
         if member not in core.progress:
-            core.progress[member] = Progress(next_index=core.log.last_index + 1)
+            core.progress[member] = FollowerProgress(next_index=core.log.last_index + 1)
     for member in list(core.progress):
         if member not in others:
             del core.progress[member]
@@ -51,7 +51,11 @@
 
 
 def _send_to(
-    core: Core, member: Member, progress: Progress, now_seconds: float, heartbeat: bool
+    core: Core,
+    member: Member,
+    progress: FollowerProgress,
+    now_seconds: float,
+    heartbeat: bool,
 ) -> None:
     """Send one member the next entries, or a part of the snapshot."""
     log = core.log
@@ -77,7 +81,11 @@
 
 
 def _send_chunk(
-    core: Core, member: Member, progress: Progress, now_seconds: float, heartbeat: bool
+    core: Core,
+    member: Member,
+    progress: FollowerProgress,
+    now_seconds: float,
+    heartbeat: bool,
 ) -> None:
     """Send a part of the snapshot, once per wish of the follower or heartbeat."""
     image = core.snapshot
--- a/sesameford/log_service.py
+++ b/sesameford/log_service.py
@@ -20,7 +20,7 @@
 from sesameford.log_proposer import PendingProposal, Proposer
 from sesameford.log_replica import Replica, make_replica
 from sesameford.log_state import Role, StoredState
-from sesameford.log_status import LogStatus, replica_status
+from sesameford.log_status import ReplicaLogStatus, replica_status
 from sesameford.log_storage import LogStorage, open_storage
 from sesameford.log_succession import voters_by_health
 from sesameford.messages import LogPayload, Message, ProposalReply, ProposalRequest
@@ -209,7 +209,7 @@
         if self._replica is not None:
             self._replica.core.wanted_voters = instance_ids
 
-    def know_replicas(self, replica_ids: tuple[str, ...], may_found: bool) -> None:
+    def set_replicas(self, replica_ids: tuple[str, ...], may_found: bool) -> None:
         """Take who the instances with disks are, where they are found as they come.
 
         Args:
@@ -217,7 +217,7 @@
             may_found: Whether they are all that found the log together.
         """
         self._peer_ids = tuple(sorted(set(replica_ids) - {self._instance_id}))
-        self._proposer.know_replicas(self._peer_ids)
+        self._proposer.set_replicas(self._peer_ids)
         self._may_found = may_found
         if self._replica is not None:
             self._replica.core.peer_ids = self._peer_ids
@@ -244,16 +244,16 @@
         return leader.instance_id if leader else None
 
     def role(self) -> str:
-        """Return the role on the status page; see ``LogStatus``."""
+        """Return the role on the status page; see ``ReplicaLogStatus``."""
         if self._failure is not None:
             return "failed"
         return self._replica.role if self._replica else "none"
 
-    def status(self) -> LogStatus:
+    def status(self) -> ReplicaLogStatus:
         """Return what this instance knows of the log."""
         waiting = len(self._proposer)
         if self._replica is None:
-            return LogStatus("none", self.leader_id(), waiting_proposals=waiting)
+            return ReplicaLogStatus("none", self.leader_id(), waiting_proposals=waiting)
         status = replica_status(self._replica, waiting, self._now())
         if self._failure is None:
             return status
--- a/sesameford/log_state.py
+++ b/sesameford/log_state.py
@@ -79,7 +79,7 @@
 
 
 @dataclass(slots=True)
-class Progress:
+class FollowerProgress:
     """How far one other member is, as its leader knows.
 
     ``acked_at_seconds`` is when the newest message that it answered was sent.
@@ -162,7 +162,7 @@
     fresh_until_seconds: float = float("-inf")
     votes: set[Member] = field(default_factory=set)
     fresh_voters: dict[Member, int] = field(default_factory=dict)
-    progress: dict[Member, Progress] = field(default_factory=dict)
+    progress: dict[Member, FollowerProgress] = field(default_factory=dict)
     announced: dict[str, tuple[Member, bool, float]] = field(default_factory=dict)
     incoming: IncomingSnapshot | None = None
     encoded_snapshot: tuple[int, bytes] = (0, b"")
--- a/sesameford/log_status.py
+++ b/sesameford/log_status.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LogStatus:
+class ReplicaLogStatus:
     """The replicated log as one instance sees it.
 
     ``role`` is learner, follower, pre-candidate, candidate, leader, ``none`` where
@@ -46,7 +46,7 @@
 
 def replica_status(
     replica: Replica, waiting_proposals: int, now_seconds: float
-) -> LogStatus:
+) -> ReplicaLogStatus:
     """Return the status of a replica.
 
     Args:
@@ -58,7 +58,7 @@
     leads = core.role is Role.LEADER
     lease = lease_until_seconds(core, now_seconds) - now_seconds
     silent = None if leads else now_seconds - core.heard_leader_at_seconds
-    return LogStatus(
+    return ReplicaLogStatus(
         role=replica.role,
         leader_id=core.leader.instance_id if core.leader else None,
         term=core.term,
--- a/sesameford/members.py
+++ b/sesameford/members.py
@@ -19,9 +19,9 @@
     MembersUpdate,
     Outgoing,
 )
-from sesameford.tables import Instance, InstanceState, Table
+from sesameford.tables import InstanceRow, InstanceState, Table
 
-HEARD_WITHIN_SECONDS = 3.0
+LIVENESS_TIMEOUT_SECONDS = 3.0
 WANTED_AFTER_SECONDS = 2.0
 LOOK_AGAIN_SECONDS = 0.2
 
@@ -55,7 +55,7 @@
         self._reachable: dict[str, frozenset[str]] = {}
         self._changed: dict[str, str] = {}
         self._changes = 0
-        self._looked: tuple[float, int, dict[str, Instance]] = (-inf, 0, {})
+        self._looked: tuple[float, int, dict[str, InstanceRow]] = (-inf, 0, {})
         self._digest = 0
         self._differs_since_seconds: dict[str, float] = {}
         self._outgoing: list[Outgoing] = []
@@ -162,7 +162,7 @@
         due, self._outgoing = self._outgoing, []
         return due
 
-    def live(self, now_seconds: float) -> Mapping[str, Instance]:
+    def live(self, now_seconds: float) -> Mapping[str, InstanceRow]:
         """Return the other instances that are heard, directly or by hubs.
 
         Systems ask for them at every tick, and at the target size there are 359; so
@@ -175,7 +175,7 @@
             self._looked = (now_seconds, self._changes, live)
         return live
 
-    def _look(self, now_seconds: float) -> dict[str, Instance]:
+    def _look(self, now_seconds: float) -> dict[str, InstanceRow]:
         places = self._live_places(now_seconds)
         return {
             row.instance_id: _instance_of(
@@ -186,7 +186,7 @@
             and self._is_live(row, places, now_seconds)
         }
 
-    def all(self, now_seconds: float) -> list[Instance]:
+    def all(self, now_seconds: float) -> list[InstanceRow]:
         """Return every other instance ever heard of, for the status page."""
         live = self.live(now_seconds)
         return [
@@ -270,7 +270,7 @@
             if row.data_centre != self._data_centre:
                 continue
             fresh_at_seconds = self._fresh_at_seconds.get(row.instance_id, -inf)
-            if now_seconds - fresh_at_seconds > HEARD_WITHIN_SECONDS:
+            if now_seconds - fresh_at_seconds > LIVENESS_TIMEOUT_SECONDS:
                 silent = replace(row, flips=row.flips + 1, is_silent=True)
                 self._put(silent, self._instance_id)
 
@@ -294,7 +294,7 @@
 
     def _is_direct(self, instance_id: str, now_seconds: float) -> bool:
         heard_seconds = self._direct_at_seconds.get(instance_id, -inf)
-        return now_seconds - heard_seconds <= HEARD_WITHIN_SECONDS
+        return now_seconds - heard_seconds <= LIVENESS_TIMEOUT_SECONDS
 
     def _is_live(
         self, row: MemberRow, places: frozenset[str], now_seconds: float
@@ -333,15 +333,15 @@
     return xxh3_64_intdigest(f"{row.instance_id}/{_stamp(row)}".encode())
 
 
-def _instance_of(row: MemberRow, heard_at_seconds: float) -> Instance:
+def _instance_of(row: MemberRow, last_seen_at_seconds: float) -> InstanceRow:
     """Return a row as the other modules know instances."""
-    return Instance(
+    return InstanceRow(
         instance_id=row.instance_id,
         incarnation=row.incarnation,
         data_centre=row.data_centre,
         state=row.state,
         revision=row.revision,
-        heard_at_seconds=heard_at_seconds,
+        last_seen_at_seconds=last_seen_at_seconds,
         is_hub=row.is_hub,
     )
 
--- a/sesameford/order_service.py
+++ b/sesameford/order_service.py
@@ -19,14 +19,14 @@
 )
 from sesameford.leases import (
     LeaseCommand,
-    LeaseKeeper,
-    make_lease_keeper,
-    make_slot_keeper,
+    LeaseManager,
+    make_lease_manager,
+    make_slot_lease_manager,
 )
 from sesameford.messages import ModelUse, ModelUseQuery, Outgoing
 from sesameford.orders import ORDER_DEADLINE_SECONDS, Order, OrderBook, OrderKind
 from sesameford.state_machine import Propose
-from sesameford.tables import Instance, InstanceState, Target
+from sesameford.tables import InstanceRow, InstanceState, Target
 
 logger = logging.getLogger(__name__)
 
@@ -59,7 +59,7 @@
     propose: Propose
     session: Callable[[], ClientSession | None]
     send: Callable[[Outgoing], None]
-    live: Callable[[], Mapping[str, Instance]]
+    live: Callable[[], Mapping[str, InstanceRow]]
     targets: Callable[[], Mapping[str, Target]]
     is_ready: Callable[[], bool]
     running_of: Callable[[str, str], int]
@@ -78,10 +78,10 @@
         self._deps = deps
         self._book = OrderBook()
         holder = f"{deps.instance_id}/{deps.incarnation}"
-        self._keeper = make_lease_keeper(
+        self._keeper = make_lease_manager(
             f"orders/{deps.data_centre}", holder, ORDER_DEADLINE_SECONDS
         )
-        self._loads = make_slot_keeper(
+        self._loads = make_slot_lease_manager(
             WEIGHT_STORE_GROUP,
             lambda: deps.tree().fleet.weight_store_concurrent_loads,
             holder,
@@ -240,7 +240,7 @@
             logger.warning("an order broke: %r", error)
             return False
 
-    def _keep(self, keeper: LeaseKeeper, now_seconds: float) -> None:
+    def _keep(self, keeper: LeaseManager, now_seconds: float) -> None:
         """Ask for a lease or renew it, where that is due."""
         asked = keeper.decide(now_seconds)
         if asked is not None:
@@ -252,12 +252,12 @@
             self._release(self._keeper, now_seconds)
             self._release(self._loads, now_seconds)
 
-    def _release(self, keeper: LeaseKeeper, now_seconds: float) -> None:
+    def _release(self, keeper: LeaseManager, now_seconds: float) -> None:
         released = keeper.release(now_seconds)
         if released is not None:
             self._start(self._ask(keeper, released))
 
-    async def _ask(self, keeper: LeaseKeeper, asked: LeaseCommand) -> None:
+    async def _ask(self, keeper: LeaseManager, asked: LeaseCommand) -> None:
         """Propose a command of a lease and hand its answer back."""
         incarnation = self._deps.incarnation
         proposal = f"{self._deps.instance_id}/{incarnation}/lease/{next(self._numbers)}"
--- a/sesameford/outcomes.py
+++ b/sesameford/outcomes.py
@@ -7,8 +7,8 @@
 from sesameford.keyed import KeyedRequests
 from sesameford.messages import Outgoing, SuspectUpdate
 from sesameford.retries import RetryBudget, make_backoff
-from sesameford.suspects import Standing, Suspects, name_death
-from sesameford.target_exclusion import Gates
+from sesameford.suspects import Suspects, SuspectTreatment, name_death
+from sesameford.target_exclusion import TargetExclusion
 
 
 class Outcomes:
@@ -25,7 +25,7 @@
         self.backoff_seconds = make_backoff(seed)
         self.suspects = Suspects(fleet.quarantine_seconds)
         self.on_targets = OnTargets()
-        self.gates = Gates()
+        self.gates = TargetExclusion()
         self.keyed: KeyedRequests | None = None
         self.open_requests = 0
         self.target_deaths = 0
@@ -45,7 +45,7 @@
         lifted = [bytes.fromhex(digest) for digest in tree.fleet.lifted_digests]
         self.suspects.configure(tree.fleet.quarantine_seconds, lifted)
 
-    def standing(self, body_digest: bytes, now_seconds: float) -> Standing:
+    def standing(self, body_digest: bytes, now_seconds: float) -> SuspectTreatment:
         """Return how a request with this body is to be treated now."""
         return self.suspects.standing(body_digest, now_seconds)
 
--- a/sesameford/owner_queries.py
+++ b/sesameford/owner_queries.py
@@ -5,14 +5,14 @@
 from itertools import count
 
 from sesameford.claims import ClaimAnswer, ClaimOwner
-from sesameford.keyed import KeyedRequests, OwnerWord, RunStanding
+from sesameford.keyed import KeyedRequests, OwnerReply, RunState
 from sesameford.messages import Outgoing, StoredAnswer, StoredAnswerQuery
 
 ANSWER_WITHIN_SECONDS = 1.0
 MAX_QUESTIONS = 10_000
 
 
-class OwnerWords:
+class OwnerQueries:
     """The questions of one router that wait for their answer.
 
     Args:
@@ -24,15 +24,15 @@
         self._router_id = router_id
         self._send = send
         self._numbers = count(1)
-        self._waiting: dict[str, asyncio.Future[OwnerWord]] = {}
+        self._waiting: dict[str, asyncio.Future[OwnerReply]] = {}
 
-    async def ask(self, owner: ClaimOwner, claim_index: int) -> OwnerWord | None:
+    async def ask(self, owner: ClaimOwner, claim_index: int) -> OwnerReply | None:
         """Return the owner's word, or None where it does not come in time."""
         if len(self._waiting) >= MAX_QUESTIONS:
             await asyncio.sleep(ANSWER_WITHIN_SECONDS)
             return None
         query_id = f"{self._router_id}/{next(self._numbers)}"
-        answer: asyncio.Future[OwnerWord] = asyncio.get_running_loop().create_future()
+        answer: asyncio.Future[OwnerReply] = asyncio.get_running_loop().create_future()
         self._waiting[query_id] = answer
         question = StoredAnswerQuery(
             query_id, claim_index, owner.incarnation, owner.request_id
@@ -52,13 +52,13 @@
         if answer is None or answer.done():
             return
         try:
-            standing = RunStanding(message.run_state)
+            standing = RunState(message.run_state)
         except ValueError:
             return
         kept = None
-        if standing is RunStanding.KEPT:
+        if standing is RunState.KEPT:
             kept = ClaimAnswer(message.status, message.headers, message.body)
-        answer.set_result(OwnerWord(standing, kept))
+        answer.set_result(OwnerReply(standing, kept))
 
     def asked(
         self, sender_id: str, message: StoredAnswerQuery, keyed: KeyedRequests
--- a/sesameford/peer_state.py
+++ b/sesameford/peer_state.py
@@ -17,7 +17,7 @@
     dialled_at_seconds: float
     next_sequence: int = 1
     heard: tuple[int, int] = (0, 0)
-    heard_at_seconds: float | None = None
+    last_seen_at_seconds: float | None = None
     acknowledged: tuple[int, int] = (0, 0)
     acknowledged_at_seconds: float | None = None
 
@@ -34,7 +34,7 @@
     stamp = (envelope.incarnation, envelope.sequence)
     if stamp <= state.heard:
         return None
-    state = replace(state, heard=stamp, heard_at_seconds=now_seconds)
+    state = replace(state, heard=stamp, last_seen_at_seconds=now_seconds)
     is_newer = envelope.acknowledged > state.acknowledged
     if envelope.acknowledged[0] == own_incarnation and is_newer:
         state = replace(
--- a/sesameford/peers.py
+++ b/sesameford/peers.py
@@ -16,7 +16,7 @@
 from pynng.exceptions import NNGException, TryAgain
 
 from sesameford.codec import MAX_ENVELOPE_BYTES, decode_envelope, encode_envelope
-from sesameford.discovery.hello_peer import greeted_peer
+from sesameford.discovery.hello_peer import peer_from_hello
 from sesameford.errors import PeerError
 from sesameford.messages import Envelope, Hello, Message, Outgoing, StaleIncarnation
 from sesameford.peer_state import (
@@ -151,7 +151,7 @@
         if self._now() - last_sign_seconds > SILENT_LINK_SECONDS:
             self._dial(self._peers[peer_id])
 
-    def redial_unheard(self, now_seconds: float) -> list[str]:
+    def redial_silent_peers(self, now_seconds: float) -> list[str]:
         """Dial anew, soon after the start, who has not answered yet; return whom.
 
         After a loss of all power the machines come back one after another, and this
@@ -369,7 +369,7 @@
         """
         for message in envelope.messages:
             if isinstance(message, Hello) and self._settings.seeds:
-                self.add(greeted_peer(envelope.sender_id, message))
+                self.add(peer_from_hello(envelope.sender_id, message))
                 return self._states[envelope.sender_id]
         raise PeerError(f"{envelope.sender_id!r} is no peer of this instance")
 
--- a/sesameford/place_reports.py
+++ b/sesameford/place_reports.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Collection
 
-from sesameford.allocator_state import AllocatorState, Place
+from sesameford.allocator_state import AllocatorState, RemoteAllocator
 from sesameford.links import (
     COALESCE_SECONDS,
     HEARTBEAT_SECONDS,
@@ -62,7 +62,7 @@
 def _report(
     state: AllocatorState,
     name: str,
-    place: Place,
+    place: RemoteAllocator,
     demands: dict[DemandKey, Demand],
     heartbeat_seconds: float,
     now_seconds: float,
@@ -117,7 +117,7 @@
     )
 
 
-def _could_help(place: Place, demands: dict[DemandKey, Demand]) -> bool:
+def _could_help(place: RemoteAllocator, demands: dict[DemandKey, Demand]) -> bool:
     """Return whether new work waits here while the other place may have slots idle.
 
     Where work waits there too, nothing idles and the next report is soon enough.
@@ -154,7 +154,7 @@
 
 def _with_pool_rows(
     state: AllocatorState,
-    place: Place,
+    place: RemoteAllocator,
     pools: dict[str, PoolReport],
     full: bool,
     now_seconds: float,
@@ -188,7 +188,7 @@
     return tuple(pools[pool] for pool in sorted(pools))
 
 
-def _compares(place: Place, now_seconds: float) -> bool:
+def _compares(place: RemoteAllocator, now_seconds: float) -> bool:
     """Return whether virtual times are due.
 
     After a cut the two sides' virtual times are far apart, and slots go to and fro
@@ -228,7 +228,7 @@
 
 
 def _wanted_rows(
-    state: AllocatorState, place: Place, full: bool
+    state: AllocatorState, place: RemoteAllocator, full: bool
 ) -> tuple[LimitDemandRow, ...]:
     """Return the limited customers' demand here that changed much."""
     total: dict[str, float] = {}
--- a/sesameford/planned_stop.py
+++ b/sesameford/planned_stop.py
@@ -10,9 +10,9 @@
     StopStep,
     accepts_requests,
     advance_stop,
-    ask_stop,
+    cancel_stop,
     is_ready,
-    withdraw_stop,
+    request_stop,
 )
 
 logger = logging.getLogger(__name__)
@@ -48,7 +48,7 @@
 
     def ask(self, now_seconds: float) -> None:
         """Begin a planned stop; asked again it cuts nothing."""
-        self._state = ask_stop(self._state, now_seconds)
+        self._state = request_stop(self._state, now_seconds)
         logger.info("a stop was asked for", extra={"asked": self._state.asked})
 
     def drained(self, is_drained: bool, now_seconds: float) -> bool:
@@ -57,7 +57,7 @@
         if is_asked:
             self.ask(now_seconds)
         elif self._is_drained and not is_drained:
-            self._state = withdraw_stop(self._state)
+            self._state = cancel_stop(self._state)
         self._is_drained = is_drained
         return is_asked
 
--- a/sesameford/relay.py
+++ b/sesameford/relay.py
@@ -30,7 +30,7 @@
 )
 from sesameford.service_run import run_call
 from sesameford.silence import progressed
-from sesameford.suspects import Standing
+from sesameford.suspects import SuspectTreatment
 from sesameford.tables import Attempt, Outcome, Target, TargetKind, Usage
 
 __all__ = ["Call", "RelayDeps", "serve"]
@@ -318,10 +318,10 @@
     left_seconds = max(history.deadline_at_seconds - deps.now(), 0.0)
     try:
         async with asyncio.timeout(left_seconds):
-            if deps.outcomes.standing(digest, deps.now()) is Standing.CLEAR:
-                gate = gates.pass_together(attempt.target_id)
+            if deps.outcomes.standing(digest, deps.now()) is SuspectTreatment.CLEAR:
+                gate = gates.run_shared(attempt.target_id)
             else:
-                gate = gates.pass_alone(attempt.target_id, digest)
+                gate = gates.run_exclusive(attempt.target_id, digest)
             await stack.enter_async_context(gate)
     except TimeoutError as error:
         raise TargetRefusedError("no turn in time", Failure.NEVER_SENT) from error
--- a/sesameford/router_state.py
+++ b/sesameford/router_state.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from sesameford.account_virtual_times import Standings
+from sesameford.account_virtual_times import AccountVirtualTimes
 from sesameford.accounts import OwnTotals
 from sesameford.attempts import Attempts
 from sesameford.effective import EffectiveTree
@@ -11,7 +11,7 @@
 from sesameford.links import ReportLink
 from sesameford.queues import Queues
 from sesameford.tables import Target
-from sesameford.windows import Pace
+from sesameford.windows import CompletionTotals
 
 
 @dataclass(slots=True)
@@ -24,9 +24,9 @@
     queues: Queues = field(default_factory=Queues)
     limits: Limits = field(default_factory=Limits)
     attempts: Attempts = field(default_factory=Attempts)
-    standings: Standings = field(default_factory=Standings)
+    standings: AccountVirtualTimes = field(default_factory=AccountVirtualTimes)
     totals: OwnTotals = field(default_factory=OwnTotals)
-    paces: dict[str, Pace] = field(default_factory=dict)
+    paces: dict[str, CompletionTotals] = field(default_factory=dict)
     reported_wanted: dict[str, float] = field(default_factory=dict)
 
     def pool_of_target(self, target_id: str) -> str | None:
--- a/sesameford/scheduler_switch.py
+++ b/sesameford/scheduler_switch.py
@@ -7,7 +7,7 @@
 from sesameford.errors import NotRunError
 from sesameford.messages import Message, Outgoing
 from sesameford.scheduling import Scheduler
-from sesameford.tables import Attempt, Instance, Outcome, Request, Target, Usage
+from sesameford.tables import Attempt, InstanceRow, Outcome, Request, Target, Usage
 
 MakeScheduler = Callable[[], Scheduler]
 
@@ -42,7 +42,7 @@
         self._began: dict[str, _Began] = {}
         self._unplaced: list[str] = []
         self._targets: Mapping[str, Target] = {}
-        self._instances: Mapping[str, Instance] = {}
+        self._instances: Mapping[str, InstanceRow] = {}
         self._tree = EffectiveTree()
 
     @property
@@ -67,7 +67,7 @@
         self._present.observe_targets(targets, now_seconds)
 
     def observe_instances(
-        self, instances: Mapping[str, Instance], now_seconds: float
+        self, instances: Mapping[str, InstanceRow], now_seconds: float
     ) -> None:
         """See ``Scheduler``."""
         self._instances = instances
--- a/sesameford/scheduling.py
+++ b/sesameford/scheduling.py
@@ -10,7 +10,7 @@
 
 from sesameford.effective import EffectiveTree
 from sesameford.messages import Message, Outgoing
-from sesameford.tables import Attempt, Instance, Outcome, Request, Target, Usage
+from sesameford.tables import Attempt, InstanceRow, Outcome, Request, Target, Usage
 
 
 class Scheduler(Protocol):
@@ -25,7 +25,7 @@
         """Take the present table of targets that may get new work."""
 
     def observe_instances(
-        self, instances: Mapping[str, Instance], now_seconds: float
+        self, instances: Mapping[str, InstanceRow], now_seconds: float
     ) -> None:
         """Take the present table of other instances."""
 
--- a/sesameford/silence.py
+++ b/sesameford/silence.py
@@ -41,24 +41,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Progress:
+class StreamProgress:
     """When anything last came on an exchange, and what was tried since."""
 
     last_byte_at_seconds: float
     fruitless_resumes: int = 0
 
 
-def progressed(now_seconds: float) -> Progress:
+def progressed(now_seconds: float) -> StreamProgress:
     """Return the progress of an exchange on which bytes came now."""
-    return Progress(last_byte_at_seconds=now_seconds)
+    return StreamProgress(last_byte_at_seconds=now_seconds)
 
 
-def resumed(progress: Progress, now_seconds: float) -> Progress:
+def resumed(progress: StreamProgress, now_seconds: float) -> StreamProgress:
     """Return the progress after a resume, which counts until a byte comes."""
-    return Progress(now_seconds, progress.fruitless_resumes + 1)
+    return StreamProgress(now_seconds, progress.fruitless_resumes + 1)
 
 
-def silent_at_seconds(progress: Progress, silence_seconds: float) -> float:
+def silent_at_seconds(progress: StreamProgress, silence_seconds: float) -> float:
     """Return when an exchange counts as silent if nothing comes before."""
     # A target that works long without a word is probed less and less often.
     factor = 2.0 ** min(progress.fruitless_resumes, MAX_FRUITLESS_RESUMES)
--- a/sesameford/stops.py
+++ b/sesameford/stops.py
@@ -42,14 +42,14 @@
     unreported: int
 
 
-def ask_stop(state: StopState, now_seconds: float) -> StopState:
+def request_stop(state: StopState, now_seconds: float) -> StopState:
     """Begin a planned stop; asked again it changes nothing but the count."""
     if state.step is StopStep.SERVING:
         return StopState(StopStep.UNREADY, now_seconds, asked=1)
     return replace(state, asked=state.asked + 1)
 
 
-def withdraw_stop(state: StopState) -> StopState:
+def cancel_stop(state: StopState) -> StopState:
     """Serve on, where the tree takes a drain back before the work was handed over."""
     if state.step in (StopStep.UNREADY, StopStep.FINISHING):
         return StopState()
--- a/sesameford/suspects.py
+++ b/sesameford/suspects.py
@@ -27,7 +27,7 @@
 DEATHS_WHATEVER_ELSE_RAN = 3
 
 
-class Standing(StrEnum):
+class SuspectTreatment(StrEnum):
     """How a request is treated because of the deaths behind its body."""
 
     CLEAR = "clear"
@@ -46,7 +46,7 @@
     body_digest: bytes
     deaths: frozenset[str]
     cleared_deaths: frozenset[str]
-    heard_at_seconds: float
+    last_seen_at_seconds: float
     quarantined_at_seconds: float | None = None
     news_left: int = NEWS_REPEATS
     news_at_seconds: float = 0.0
@@ -106,14 +106,14 @@
         cleared = deaths if news.cleared else frozenset()
         self._merge(news.body_digest, deaths, cleared, now_seconds)
 
-    def standing(self, digest: bytes, now_seconds: float) -> Standing:
+    def standing(self, digest: bytes, now_seconds: float) -> SuspectTreatment:
         """Return how a request with this body is to be treated now."""
         row = self._rows.get(digest)
         if row is None or not row.open_deaths or digest in self._lifted:
-            return Standing.CLEAR
+            return SuspectTreatment.CLEAR
         if self.quarantine_left_seconds(digest, now_seconds) > 0.0:
-            return Standing.QUARANTINED
-        return Standing.SUSPECT
+            return SuspectTreatment.QUARANTINED
+        return SuspectTreatment.SUSPECT
 
     def quarantine_left_seconds(self, digest: bytes, now_seconds: float) -> float:
         """Return for how long a body stays refused; 0 where it is not."""
@@ -163,7 +163,7 @@
     def tick(self, now_seconds: float) -> None:
         """Forget what was heard of long ago."""
         for digest, row in list(self._rows.items()):
-            if now_seconds - row.heard_at_seconds > FORGET_AFTER_SECONDS:
+            if now_seconds - row.last_seen_at_seconds > FORGET_AFTER_SECONDS:
                 self._forget(digest)
 
     def _merge(
@@ -182,7 +182,7 @@
             body_digest=digest,
             deaths=row.deaths | deaths | cleared,
             cleared_deaths=row.cleared_deaths | cleared,
-            heard_at_seconds=now_seconds,
+            last_seen_at_seconds=now_seconds,
         )
         self._rows.pop(digest, None)
         self._rows[digest] = row
--- a/sesameford/tables.py
+++ b/sesameford/tables.py
@@ -94,7 +94,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Instance:
+class InstanceRow:
     """What is known of another instance of the system."""
 
     instance_id: str
@@ -102,7 +102,7 @@
     data_centre: str
     state: InstanceState
     revision: int
-    heard_at_seconds: float
+    last_seen_at_seconds: float
     is_hub: bool = False
 
 
--- a/sesameford/target_exclusion.py
+++ b/sesameford/target_exclusion.py
@@ -6,7 +6,7 @@
 from contextlib import asynccontextmanager
 
 
-class Gates:
+class TargetExclusion:
     """A gate per target: many pass at once, or one suspect alone.
 
     A body that crashes targets would otherwise take other callers' running work
@@ -20,7 +20,7 @@
         self._changed = asyncio.Event()
 
     @asynccontextmanager
-    async def pass_together(self, target_id: str) -> AsyncIterator[None]:
+    async def run_shared(self, target_id: str) -> AsyncIterator[None]:
         """Run beside others, once no suspect runs or waits there."""
         while self._alone.get(target_id):
             await self._changed.wait()
@@ -31,7 +31,7 @@
             self._leave(target_id)
 
     @asynccontextmanager
-    async def pass_alone(
+    async def run_exclusive(
         self, target_id: str, body_digest: bytes
     ) -> AsyncIterator[None]:
         """Run once nothing else runs there, and no other copy of the body here."""
--- a/sesameford/target_health.py
+++ b/sesameford/target_health.py
@@ -18,7 +18,7 @@
     """
 
     incarnation: int
-    first_heard_at_seconds: float
+    first_seen_at_seconds: float
     failures: int = 0
     flaps: int = 0
     held_until_seconds: float = 0.0
@@ -34,7 +34,7 @@
     """
     if health is None:
         return TargetHealth(incarnation, now_seconds)
-    lived_seconds = now_seconds - health.first_heard_at_seconds
+    lived_seconds = now_seconds - health.first_seen_at_seconds
     flaps = health.flaps + 1 if lived_seconds < FLAP_WITHIN_SECONDS else 0
     hold_seconds = 0.0
     if flaps > 1:
--- a/sesameford/target_replication.py
+++ b/sesameford/target_replication.py
@@ -25,7 +25,7 @@
     TargetRowsRequest,
 )
 from sesameford.targets import (
-    KnownTarget,
+    RegisteredTarget,
     TargetRegistry,
     news_of_target,
     target_of_news,
@@ -47,7 +47,7 @@
     given_at_seconds: float
 
 
-class TargetSpread:
+class TargetReplication:
     """The spread of targets at one instance.
 
     Args:
@@ -183,7 +183,7 @@
         )
         news = replace_fields(row.announcement, lease_remaining_seconds=lease_seconds)
         target = target_of_news(news, now_seconds)
-        heard = KnownTarget(
+        heard = RegisteredTarget(
             target, sequence, row.version, row.lease_holder_id, row.is_lapsed
         )
         self._registry.put(heard, now_seconds)
@@ -251,7 +251,10 @@
         return due
 
     def _lease_holder_of(
-        self, known: KnownTarget | None, news: TargetAnnouncement, now_seconds: float
+        self,
+        known: RegisteredTarget | None,
+        news: TargetAnnouncement,
+        now_seconds: float,
     ) -> str:
         """Return who is to keep a target that announces itself here."""
         if self._hub_id is not None:
@@ -271,7 +274,10 @@
         return self._instance_id
 
     def _pass_to_lease_holder(
-        self, lease_holder_id: str, known: KnownTarget | None, news: TargetAnnouncement
+        self,
+        lease_holder_id: str,
+        known: RegisteredTarget | None,
+        news: TargetAnnouncement,
     ) -> None:
         """Send an announcement to the keeper, in short where nothing changed."""
         message: TargetAnnouncement | TargetRenewal = news
@@ -286,7 +292,10 @@
         self._outgoing.append(Outgoing(lease_holder_id, message, urgent=known is None))
 
     def _keep(
-        self, known: KnownTarget | None, news: TargetAnnouncement, now_seconds: float
+        self,
+        known: RegisteredTarget | None,
+        news: TargetAnnouncement,
+        now_seconds: float,
     ) -> None:
         """Hold a target's lease here, and tell all where something changed."""
         target = target_of_news(news, now_seconds)
@@ -298,7 +307,7 @@
             or not _same(known, news)
             or not self._registry.is_live(known, now_seconds)
         )
-        row = KnownTarget(
+        row = RegisteredTarget(
             target,
             news.announcement_sequence,
             version + 1 if is_change else version,
@@ -308,7 +317,7 @@
         if is_change:
             self._send_row(row, now_seconds)
 
-    def _send_row(self, known: KnownTarget | None, now_seconds: float) -> None:
+    def _send_row(self, known: RegisteredTarget | None, now_seconds: float) -> None:
         """Tell all of a change; that a target is gone can't wait."""
         if known is not None:
             row = _row_of(known, now_seconds)
@@ -372,13 +381,13 @@
         return tuple(vouches)
 
 
-def _row_of(known: KnownTarget, now_seconds: float) -> TargetRow:
+def _row_of(known: RegisteredTarget, now_seconds: float) -> TargetRow:
     """Return the row that tells others of a target."""
     news = news_of_target(known, now_seconds)
     return TargetRow(known.lease_holder_id, known.version, news, known.is_lapsed)
 
 
-def _same(known: KnownTarget, news: TargetAnnouncement) -> bool:
+def _same(known: RegisteredTarget, news: TargetAnnouncement) -> bool:
     """Return whether an announcement says nothing but that the target lives on."""
     known_news = news_of_target(known, 0.0)
     return known_news == replace_fields(
@@ -388,13 +397,13 @@
     )
 
 
-def make_target_spread(
+def make_target_replication(
     registry: TargetRegistry,
     instance_id: str,
     incarnation: int,
     passes_on: bool,
     hub_ids: Collection[str] = (),
-) -> TargetSpread:
+) -> TargetReplication:
     """Return the spread of targets at an instance.
 
     Args:
@@ -404,4 +413,4 @@
         passes_on: Whether it passes on what it hears, as a hub of its data centre.
         hub_ids: The other hubs that it has links to.
     """
-    return TargetSpread(registry, instance_id, incarnation, passes_on, hub_ids)
+    return TargetReplication(registry, instance_id, incarnation, passes_on, hub_ids)
--- a/sesameford/targets.py
+++ b/sesameford/targets.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KnownTarget:
+class RegisteredTarget:
     """A target with what orders its news.
 
     ``announcement_sequence`` is the highest heard of its incarnation. ``version``
@@ -38,21 +38,21 @@
     """Targets by id; only the newest incarnation and announcement count."""
 
     def __init__(self) -> None:
-        self._known: Table[str, KnownTarget] = Table()
+        self._known: Table[str, RegisteredTarget] = Table()
         self._lease_holder_leases: dict[str, float] = {}
         self._digests: dict[str, int] = {}
         self._health: dict[str, TargetHealth] = {}
         self._on_replaced: Callable[[str, int, float], None] = lambda *_: None
 
-    def get(self, target_id: str) -> KnownTarget | None:
+    def get(self, target_id: str) -> RegisteredTarget | None:
         """Return what is known of a target."""
         return self._known.get(target_id)
 
-    def rows(self) -> Sequence[KnownTarget]:
+    def rows(self) -> Sequence[RegisteredTarget]:
         """Return all that is known."""
         return list(self._known)
 
-    def put(self, row: KnownTarget, now_seconds: float) -> None:
+    def put(self, row: RegisteredTarget, now_seconds: float) -> None:
         """Insert or replace what is known of a target."""
         target = row.target
         old = self._known.get(target.target_id)
@@ -91,14 +91,14 @@
             present_seconds, expires_at_seconds
         )
 
-    def expires_at_seconds(self, known: KnownTarget) -> float:
+    def expires_at_seconds(self, known: RegisteredTarget) -> float:
         """Return when a target's lease ends, its own or its keeper's word."""
         return max(
             known.target.lease_expires_at_seconds,
             self._lease_holder_leases.get(known.lease_holder_id, 0.0),
         )
 
-    def is_live(self, known: KnownTarget, now_seconds: float) -> bool:
+    def is_live(self, known: RegisteredTarget, now_seconds: float) -> bool:
         """Return whether a target's lease runs and it has not left."""
         is_gone = known.target.leaving or known.is_lapsed
         return not is_gone and self.expires_at_seconds(known) > now_seconds
@@ -199,7 +199,7 @@
     )
 
 
-def news_of_target(known: KnownTarget, now_seconds: float) -> TargetAnnouncement:
+def news_of_target(known: RegisteredTarget, now_seconds: float) -> TargetAnnouncement:
     """Return the announcement that describes what is known of a target."""
     target = known.target
     return TargetAnnouncement(
--- a/sesameford/tree.py
+++ b/sesameford/tree.py
@@ -50,7 +50,7 @@
 _ROW_KINDS: Mapping[str, type] = {"routes": RouteSettings, "backends": BackendSettings}
 
 
-class Node(Struct, frozen=True, array_like=True):
+class TreeNode(Struct, frozen=True, array_like=True):
     """What one node says itself; a leaf is an entity, a branch has children."""
 
     is_leaf: bool
@@ -58,7 +58,7 @@
 
 
 _encoder = Encoder(order="sorted")
-_decoder = Decoder(Node)
+_decoder = Decoder(TreeNode)
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,7 +80,7 @@
         return not self.put and not self.removed
 
 
-def read_node(encoded: bytes) -> Node:
+def read_node(encoded: bytes) -> TreeNode:
     """Return a node from its canonical coding."""
     return _decoder.decode(encoded)
 
@@ -97,9 +97,9 @@
     """
     path = data_centre_path(data_centre)
     present = read_node(nodes[path]).settings if path in nodes else {}
-    node = Node(True, {**present, "evacuated": evacuated})
+    node = TreeNode(True, {**present, "evacuated": evacuated})
     return {
-        DATA_CENTRES: nodes.get(DATA_CENTRES, _encoder.encode(Node(False, {}))),
+        DATA_CENTRES: nodes.get(DATA_CENTRES, _encoder.encode(TreeNode(False, {}))),
         path: _encoder.encode(node),
     }
 
@@ -120,7 +120,7 @@
 def joined_nodes(below: bytes, above: bytes) -> bytes:
     """Return a node with the fields of two, those of ``above`` before the others."""
     node, other = read_node(below), read_node(above)
-    return _encoder.encode(Node(other.is_leaf, {**node.settings, **other.settings}))
+    return _encoder.encode(TreeNode(other.is_leaf, {**node.settings, **other.settings}))
 
 
 def node_digest(path: str, encoded: bytes) -> int:
@@ -288,7 +288,7 @@
     return root if isinstance(root, str) else shown(root)
 
 
-def _walk(raw: Any, path: str, root: str, depth: int) -> Iterator[tuple[str, Node]]:
+def _walk(raw: Any, path: str, root: str, depth: int) -> Iterator[tuple[str, TreeNode]]:
     """Check a node and all below it, parents first."""
     if raw is None:
         raw = {}
@@ -299,7 +299,7 @@
     own = {name: value for name, value in raw.items() if name != "children"}
     # A root is a branch even with nothing in it: "customers" is no customer.
     is_leaf = "children" not in raw and depth > 1
-    node = Node(is_leaf, check_fields(own, ROOTS[root], path))
+    node = TreeNode(is_leaf, check_fields(own, ROOTS[root], path))
     if not is_leaf:
         for name in LEAF_FIELDS & node.settings.keys():
             raise Refused(f"{path}.{name}", "it at a branch", "it at a leaf only")
@@ -310,7 +310,7 @@
 
 def _walk_children(
     raw: Any, path: str, root: str, depth: int
-) -> Iterator[tuple[str, Node]]:
+) -> Iterator[tuple[str, TreeNode]]:
     """Check the children of a branch."""
     if root not in NAME_FIELDS:
         raise Refused(f"{path}.children", "children", "none under this root")
@@ -324,7 +324,7 @@
         yield from _walk(child, f"{path}/{name}", root, depth + 1)
 
 
-def _check_owners(path: str, node: Node, owners: dict[str, str]) -> None:
+def _check_owners(path: str, node: TreeNode, owners: dict[str, str]) -> None:
     """Refuse a key digest that stands at two customers.
 
     A caller's key names its customer, so with a digest at two of them one would be
--- a/sesameford/tree_holder.py
+++ b/sesameford/tree_holder.py
@@ -7,9 +7,9 @@
 
 from sesameford.effective import EffectiveTree
 from sesameford.messages import Message, Outgoing
-from sesameford.tables import Instance
+from sesameford.tables import InstanceRow
 from sesameford.tree_changes import TreeMachine
-from sesameford.tree_replication import TreeSpread
+from sesameford.tree_replication import TreeReplication
 from sesameford.tree_store import TreeStore
 
 logger = logging.getLogger(__name__)
@@ -29,7 +29,7 @@
 
     send: Callable[[Outgoing], None]
     in_force: Callable[[EffectiveTree], None]
-    live: Callable[[], Mapping[str, Instance]]
+    live: Callable[[], Mapping[str, InstanceRow]]
     is_leader: Callable[[], bool]
     now: Callable[[], float]
 
@@ -37,7 +37,7 @@
 class TreeHolder:
     """Holds the tree of one instance and tells when a newer one is in force."""
 
-    def __init__(self, spread: TreeSpread, deps: TreeHolderDeps) -> None:
+    def __init__(self, spread: TreeReplication, deps: TreeHolderDeps) -> None:
         self._spread = spread
         self._deps = deps
         self._risen = asyncio.Event()
@@ -132,5 +132,5 @@
         expected_peers: How many other instances its settings name.
         deps: What it needs of its instance.
     """
-    spread = TreeSpread(instance_id, data_centre, expected_peers, deps.now())
+    spread = TreeReplication(instance_id, data_centre, expected_peers, deps.now())
     return TreeHolder(spread, deps)
--- a/sesameford/tree_replication.py
+++ b/sesameford/tree_replication.py
@@ -19,7 +19,7 @@
     TreeStepRow,
     TreeSteps,
 )
-from sesameford.tables import Instance
+from sesameford.tables import InstanceRow
 from sesameford.tree import TreeDifference, read_node, tree_digest
 from sesameford.tree_in_force import TreeInForce
 from sesameford.tree_store import TreeStep, TreeStore
@@ -33,7 +33,7 @@
 DIGEST_BYTES = 16
 
 
-class TreeSpread:
+class TreeReplication:
     """The tree of one instance and its part in the spreading of changes.
 
     Args:
@@ -66,7 +66,7 @@
         self._whole_sent_at_seconds: dict[str, float] = {}
 
     def committed(
-        self, source: TreeStore, is_leader: bool, peers: Mapping[str, Instance]
+        self, source: TreeStore, is_leader: bool, peers: Mapping[str, InstanceRow]
     ) -> Sequence[Outgoing]:
         """Take over what the replicated log has accepted here.
 
@@ -90,7 +90,7 @@
         self,
         sender_id: str,
         message: Message,
-        peers: Mapping[str, Instance],
+        peers: Mapping[str, InstanceRow],
         now_seconds: float,
     ) -> Sequence[Outgoing]:
         """Take a message about the tree.
@@ -117,7 +117,7 @@
         return ()
 
     def due(
-        self, peers: Mapping[str, Instance], now_seconds: float
+        self, peers: Mapping[str, InstanceRow], now_seconds: float
     ) -> Sequence[Outgoing]:
         """Return the question that is due where others have a newer tree.
 
@@ -140,7 +140,7 @@
         wanted = TreeRequest(self.store.revision, self._needs_whole)
         return [Outgoing(asked.instance_id, wanted, urgent=True)]
 
-    def is_ready(self, peers: Mapping[str, Instance], now_seconds: float) -> bool:
+    def is_ready(self, peers: Mapping[str, InstanceRow], now_seconds: float) -> bool:
         """Return whether this instance may serve under the tree it has.
 
         One that starts empty must not let callers in under an old tree, or under
@@ -185,7 +185,7 @@
         self._needs_whole = False
 
     def _received_steps(
-        self, sender_id: str, message: TreeSteps, peers: Mapping[str, Instance]
+        self, sender_id: str, message: TreeSteps, peers: Mapping[str, InstanceRow]
     ) -> Sequence[Outgoing]:
         """Take steps from another instance and pass them on where that is ours."""
         steps = [_read_step(row) for row in message.steps]
@@ -217,10 +217,10 @@
 
     # --- sending --------------------------------------------------------------
 
-    def _is_far(self, instance: Instance) -> bool:
+    def _is_far(self, instance: InstanceRow) -> bool:
         return instance.data_centre != self._data_centre
 
-    def _receivers(self, peers: Mapping[str, Instance]) -> list[str]:
+    def _receivers(self, peers: Mapping[str, InstanceRow]) -> list[str]:
         """Return whom the leader pushes to."""
         if len(peers) < self._direct_fanout:
             return sorted(peers)
--- a/sesameford/virtual_time.py
+++ b/sesameford/virtual_time.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True)
-class Standing:
+class CustomerVirtualTime:
     """One customer's place in a pool."""
 
     virtual_time: float = 0.0
@@ -30,7 +30,7 @@
     def __init__(self, patience_seconds: float, debt_limit: float) -> None:
         self._patience_seconds = patience_seconds
         self.debt_limit = debt_limit
-        self._standings: dict[str, Standing] = {}
+        self._standings: dict[str, CustomerVirtualTime] = {}
 
     def __len__(self) -> int:
         return len(self._standings)
@@ -39,11 +39,11 @@
         """Return the customers that have a standing."""
         return self._standings.keys()
 
-    def standing(self, customer_id: str) -> Standing:
+    def standing(self, customer_id: str) -> CustomerVirtualTime:
         """Return a customer's standing, made when it is new."""
         standing = self._standings.get(customer_id)
         if standing is None:
-            standing = self._standings[customer_id] = Standing()
+            standing = self._standings[customer_id] = CustomerVirtualTime()
         return standing
 
     def virtual_time(self, customer_id: str) -> float:
@@ -104,8 +104,8 @@
         if not waiting_since:
             return None
         patient = now_seconds - self._patience_seconds
-        steady: list[Standing] = []
-        brief: list[Standing] = []
+        steady: list[CustomerVirtualTime] = []
+        brief: list[CustomerVirtualTime] = []
         for customer, since in waiting_since.items():
             standing = self.standing(customer)
             standing.backlogged_at_seconds = now_seconds
@@ -132,6 +132,6 @@
         """Return the largest virtual time."""
         return max(standing.virtual_time for standing in self._standings.values())
 
-    def _move(self, standing: Standing, low: float, high: float) -> None:
+    def _move(self, standing: CustomerVirtualTime, low: float, high: float) -> None:
         """Adjust a virtual time into a range."""
         standing.virtual_time = min(max(standing.virtual_time, low), high)
--- a/sesameford/windows.py
+++ b/sesameford/windows.py
@@ -22,24 +22,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class CompletionTotals:
     """Completions on a target, as totals or as a difference of totals."""
 
     completions: int = 0
     cost_units: float = 0.0
     busy_seconds: float = 0.0
 
-    def plus(self, other: "Pace") -> "Pace":
+    def plus(self, other: "CompletionTotals") -> "CompletionTotals":
         """Return the sum."""
-        return Pace(
+        return CompletionTotals(
             self.completions + other.completions,
             self.cost_units + other.cost_units,
             self.busy_seconds + other.busy_seconds,
         )
 
-    def minus(self, other: "Pace") -> "Pace":
+    def minus(self, other: "CompletionTotals") -> "CompletionTotals":
         """Return the difference."""
-        return Pace(
+        return CompletionTotals(
             self.completions - other.completions,
             self.cost_units - other.cost_units,
             self.busy_seconds - other.busy_seconds,
@@ -57,7 +57,7 @@
     slots: int
     announced_slots: int
     best_seconds_per_unit: float | None = None
-    since: Pace = Pace()
+    since: CompletionTotals = CompletionTotals()
     adapted_at_seconds: float = float("-inf")
 
 
@@ -66,7 +66,7 @@
     return Window(announced_slots, announced_slots)
 
 
-def adapt_window(window: Window, added: Pace, now_seconds: float) -> Window:
+def adapt_window(window: Window, added: CompletionTotals, now_seconds: float) -> Window:
     """Take completions and return the window to use from now on.
 
     Args:
@@ -90,7 +90,7 @@
         slots = max(least, int(slots * _SHRINK_FACTOR))
     elif pace < _GOOD_RATIO * best:
         slots = min(window.announced_slots, slots + 1)
-    return Window(slots, window.announced_slots, best, Pace(), now_seconds)
+    return Window(slots, window.announced_slots, best, CompletionTotals(), now_seconds)
 
 
 def regrow_window(window: Window, now_seconds: float) -> Window:
--- a/standins/engine_queue.py
+++ b/standins/engine_queue.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from sesameford.discovery.heartbeat_table import make_beat_table
+from sesameford.discovery.heartbeat_table import make_heartbeat_table
 from sesameford.gateway.candidates import make_candidates
 from sesameford.load_messages import (
     FailingTarget,
@@ -48,7 +48,7 @@
 
     def __init__(self, queue: EngineQueue) -> None:
         self._queue = queue
-        self.candidates = make_candidates(make_beat_table(), {}, lambda _: None)
+        self.candidates = make_candidates(make_heartbeat_table(), {}, lambda _: None)
 
     def mean_wait_seconds(self, service: str, slots: int, now_seconds: float) -> float:
         return self._queue.wait_seconds
@@ -63,10 +63,10 @@
     def outcomes(self) -> tuple[TargetOutcomes, ...]:
         return ()
 
-    def take_failing(self, rows: Iterable[FailingTarget]) -> None:
+    def set_failing_targets(self, rows: Iterable[FailingTarget]) -> None:
         pass
 
-    def take_others(self, loads: Iterable[TargetLoad]) -> None:
+    def set_other_routers_load(self, loads: Iterable[TargetLoad]) -> None:
         pass
 
     def has_room(self, *args: object) -> bool:
--- a/standins/virtual_cold.py
+++ b/standins/virtual_cold.py
@@ -12,7 +12,7 @@
 
 from xxhash import xxh32_intdigest
 
-from sesameford.discovery.heartbeat_table import make_beat_table, short_name
+from sesameford.discovery.heartbeat_table import make_heartbeat_table, short_name
 from sesameford.gateway.cold_permits import make_cold_permits
 from sesameford.gateway.cold_targets import make_cold_targets
 from sesameford.messages import HeartbeatRow
@@ -118,7 +118,7 @@
     """Return the way of the product, and what it does regularly."""
     replicas = [make_cold_permits(bound, data_centres) for _ in range(data_centres)]
     row = HeartbeatRow(TARGET, 1, "pool", "t:1", "a", 8, TargetState.READY, 60_000)
-    table = make_beat_table()
+    table = make_heartbeat_table()
     table.beat(row, 0.0)
     known = table.known[TARGET]
     fleet = [make_cold_targets(table) for _ in range(routers)]
--- a/standins/virtual_engines.py
+++ b/standins/virtual_engines.py
@@ -14,12 +14,12 @@
 from itertools import count
 from random import Random
 
-from sesameford.discovery.heartbeat_table import make_beat_table
+from sesameford.discovery.heartbeat_table import make_heartbeat_table
 from sesameford.effective import ServiceSettings
 from sesameford.gateway.calls import Prompt
 from sesameford.gateway.fleet_sums import FleetSums, LiveInstances, make_fleet_sums
 from sesameford.gateway.placement import Placement, make_placement
-from sesameford.gateway.target_record import Lease
+from sesameford.gateway.target_record import Reservation
 from sesameford.load_messages import FleetLoad, RouterLoad
 from sesameford.messages import HeartbeatRow
 from sesameford.tables import TargetState
@@ -77,7 +77,7 @@
 class _Engine:
     figures: EngineFigures
     running: int = 0
-    waiting: deque[tuple[Outcome, Lease]] = field(default_factory=deque)
+    waiting: deque[tuple[Outcome, Reservation]] = field(default_factory=deque)
     busy_until_seconds: float = 0.0
     cache: OrderedDict[int, int] = field(default_factory=OrderedDict)
     cached_tokens: int = 0
@@ -156,9 +156,9 @@
             self._at(self.now_seconds + self.delay_seconds, hear)
 
     def _hear(self, router: Placement, fleet: FleetLoad) -> None:
-        router.take_others(fleet.target_loads)
-        router.take_used(fleet.used, {SERVICE: self.settings})
-        router.take_failing(fleet.failing)
+        router.set_other_routers_load(fleet.target_loads)
+        router.record_used_parts(fleet.used, {SERVICE: self.settings})
+        router.set_failing_targets(fleet.failing)
 
     def _arrive(self, arrival: Arrival) -> None:
         lease = self.routers[arrival.router].choose(
@@ -174,7 +174,7 @@
         self.outcomes.append(outcome)
         if self.random.random() < self.failing.get(lease.target_id, 0.0):
             outcome.is_failed = True
-            self.routers[arrival.router].answered_badly(lease.target_id)
+            self.routers[arrival.router].record_bad_answer(lease.target_id)
             self.routers[arrival.router].released(lease, self.now_seconds)
             return
         engine = self.engines[lease.target_id]
@@ -188,7 +188,7 @@
             engine.running += 1
             self._read(engine, outcome, lease)
 
-    def _read(self, engine: _Engine, outcome: Outcome, lease: Lease) -> None:
+    def _read(self, engine: _Engine, outcome: Outcome, lease: Reservation) -> None:
         figures = engine.figures
         prompt = outcome.arrival.prompt
         shared, own = engine.missing_tokens(prompt)
@@ -221,7 +221,9 @@
         self._read_anywhere.add(part_id)
         return was_read
 
-    def _first_event(self, engine: _Engine, outcome: Outcome, lease: Lease) -> None:
+    def _first_event(
+        self, engine: _Engine, outcome: Outcome, lease: Reservation
+    ) -> None:
         arrival = outcome.arrival
         router = self.routers[arrival.router]
         outcome.first_event_seconds = self.now_seconds - arrival.at_seconds
@@ -232,7 +234,7 @@
             self.now_seconds + lasts_seconds, lambda: self._end(engine, router, lease)
         )
 
-    def _end(self, engine: _Engine, router: Placement, lease: Lease) -> None:
+    def _end(self, engine: _Engine, router: Placement, lease: Reservation) -> None:
         router.proved(lease.target_id)
         router.released(lease, self.now_seconds)
         engine.running -= 1
@@ -257,7 +259,7 @@
         delay_seconds: How long a report is on its way.
         seed: For what placement draws by lot.
     """
-    table = make_beat_table()
+    table = make_heartbeat_table()
     for number in range(engines):
         name = f"e{number}"
         row = HeartbeatRow(
--- a/standins/virtual_fleet.py
+++ b/standins/virtual_fleet.py
@@ -21,7 +21,7 @@
 from sesameford.scheduling import Scheduler
 from sesameford.tables import (
     Attempt,
-    Instance,
+    InstanceRow,
     InstanceState,
     Outcome,
     Request,
@@ -253,7 +253,7 @@
                 if sender != receiver and not self.network.cut(sender, receiver):
                     self._heard[(receiver, sender)] = self.now_seconds
             instances = {
-                sender: Instance(
+                sender: InstanceRow(
                     sender,
                     self.incarnations[sender],
                     self.places[sender],
--- a/standins/virtual_loop.py
+++ b/standins/virtual_loop.py
@@ -14,9 +14,9 @@
 
 from sesameford.gateway.admit import decide
 from sesameford.gateway.call_context import GatewayDeps, GatewayState, Refusal
-from sesameford.gateway.calls import Call, Edge, Prompt
+from sesameford.gateway.calls import Call, Prompt, WireAdapter
 from sesameford.gateway.forward import Sender
-from sesameford.gateway.gateway_metrics import make_tally
+from sesameford.gateway.gateway_metrics import make_gateway_metrics
 from sesameford.gateway.load_report import REPORT_SECONDS
 from sesameford.gateway.load_system import LoadSystem
 from sesameford.gateway.placement import Placement
@@ -174,14 +174,14 @@
     def now() -> float:
         return loop.clock_seconds
 
-    nobody = cast(Edge, None), cast(Sender, None)
+    nobody = cast(WireAdapter, None), cast(Sender, None)
     deps = GatewayDeps(
         *nobody,
         placement,
         load.gate,
         make_second_sends(RetryBudgetSettings()),
         load.lag,
-        make_tally(),
+        make_gateway_metrics(),
         Random(1),
         lambda: state,
         lambda: 1,
--- a/standins/virtual_shares.py
+++ b/standins/virtual_shares.py
@@ -128,14 +128,16 @@
         }
         self._arriving: list[tuple[float, int, WaitingCall]] = []
         self._waits: list[tuple[float, float]] = []
-        self._heard_at_seconds: dict[tuple[str, str], float] = {}
+        self._last_seen_at_seconds: dict[tuple[str, str], float] = {}
         self._waiting: dict[str, list[tuple[str, Message]]] = defaultdict(list)
         self._due_tokens: dict[str, float] = defaultdict(float)
 
     def _make(self, name: str, has_disk: bool, state: GatewayState) -> LoadSystem:
         def is_live(other: str, now_seconds: float, within_seconds: float) -> bool:
-            heard_at_seconds = self._heard_at_seconds.get((other, name), float("-inf"))
-            return now_seconds - heard_at_seconds < within_seconds
+            last_seen_at_seconds = self._last_seen_at_seconds.get(
+                (other, name), float("-inf")
+            )
+            return now_seconds - last_seen_at_seconds < within_seconds
 
         def live_replicas(now_seconds: float, within_seconds: float) -> Collection[str]:
             return [
@@ -282,7 +284,7 @@
                 continue
             for receiver in everybody:
                 if sender != receiver and self._passes(sender, receiver):
-                    self._heard_at_seconds[sender, receiver] = self.now_seconds
+                    self._last_seen_at_seconds[sender, receiver] = self.now_seconds
 
     def _passes(self, sender: str, receiver: str) -> bool:
         """Return whether a heartbeat comes through."""
--- a/tests/callers_fixture.py
+++ b/tests/callers_fixture.py
@@ -16,7 +16,7 @@
 from sesameford.relay import RelayDeps
 from sesameford.router import Router
 from sesameford.tables import TargetKind
-from sesameford.target_replication import make_target_spread
+from sesameford.target_replication import make_target_replication
 from sesameford.targets import TargetRegistry
 from sesameford.tree import effective_tree, parse_tree
 
@@ -89,7 +89,7 @@
     def announce(self, kind: TargetKind, name: str) -> None:
         url = str(self.targets.make_url("")).rstrip("/")
         news = TargetAnnouncement(name, 1, 1, kind, (name,), url, "a", 8, 60.0)
-        spread = make_target_spread(self.router.registry, "e1", 1, False)
+        spread = make_target_replication(self.router.registry, "e1", 1, False)
         spread.announced(news, monotonic())
         self.router.tick()
 
--- a/tests/faults_fixture.py
+++ b/tests/faults_fixture.py
@@ -24,7 +24,7 @@
 from sesameford.relay import RelayDeps
 from sesameford.router import Router
 from sesameford.tables import TargetKind
-from sesameford.target_replication import make_target_spread
+from sesameford.target_replication import make_target_replication
 from sesameford.targets import TargetRegistry
 from sesameford.tree import effective_tree, parse_tree
 from standins.engine import Engine
@@ -142,7 +142,7 @@
             8,
             60.0,
         )
-        spread = make_target_spread(self.router.registry, "e1", 1, False)
+        spread = make_target_replication(self.router.registry, "e1", 1, False)
         spread.announced(news, monotonic())
         self.router.tick()
 
--- a/tests/gateway_fixture.py
+++ b/tests/gateway_fixture.py
@@ -9,12 +9,12 @@
 from aiohttp import ClientSession, DummyCookieJar, TCPConnector
 
 from sesameford.connection_guard import GuardCounts, GuardLimits, is_crowded
-from sesameford.discovery.heartbeat_table import make_beat_table
+from sesameford.discovery.heartbeat_table import make_heartbeat_table
 from sesameford.effective import EffectiveTree
 from sesameford.gateway.call_context import GatewayDeps, make_gateway_state
 from sesameford.gateway.early_decision import make_early_decision
 from sesameford.gateway.forward import make_sender
-from sesameford.gateway.gateway_metrics import make_tally
+from sesameford.gateway.gateway_metrics import make_gateway_metrics
 from sesameford.gateway.loop_lag import make_loop_lag
 from sesameford.gateway.placement import make_placement
 from sesameford.gateway.second_sends import make_second_sends
@@ -26,7 +26,7 @@
 from sesameford.settings import RetryBudgetSettings
 from sesameford.tables import TargetState
 from sesameford.tree import effective_tree, parse_tree
-from sesameford_platform.wire_adapter import make_edge
+from sesameford_platform.wire_adapter import make_wire_adapter
 from standins.platform_server import make_platform_server
 
 KEY = "the-clubs-key"
@@ -93,7 +93,7 @@
 ):
     """Start a router before one server for each fault."""
     limits, counts = limits or GuardLimits(), GuardCounts()
-    table = make_beat_table()
+    table = make_heartbeat_table()
     servers = [make_platform_server(f"s{n}", fault) for n, fault in enumerate(faults)]
     for server in servers:
         await server.start()
@@ -103,7 +103,7 @@
         table.beat(row, monotonic())
     state = make_gateway_state(tree or effective_tree(parse_tree(TREE, "t"), 1))
     targets = make_session(None, 3.0)
-    edge = make_edge()
+    edge = make_wire_adapter()
     deps = GatewayDeps(
         edge,
         make_sender(targets, edge),
@@ -111,7 +111,7 @@
         make_share_gate(Random(1)),
         make_second_sends(RetryBudgetSettings()),
         make_loop_lag(),
-        make_tally(),
+        make_gateway_metrics(),
         Random(1),
         lambda: state,
         lambda: 1,
--- a/tests/test_allocation.py
+++ b/tests/test_allocation.py
@@ -6,7 +6,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sesameford.allocation import Holder, Horizon, Vessel, find_moves, water_level
+from sesameford.allocation import (
+    CustomerBacklog,
+    Holder,
+    Horizon,
+    find_moves,
+    water_level,
+)
 
 VESSELS = st.lists(
     st.tuples(
@@ -21,7 +27,7 @@
 @given(VESSELS, st.floats(0.0, 200.0))
 def test_the_level_holds_what_was_poured(rows, cost_units):
     vessels = sorted(
-        (Vessel(str(index), *row) for index, row in enumerate(rows)),
+        (CustomerBacklog(str(index), *row) for index, row in enumerate(rows)),
         key=lambda vessel: vessel.virtual_time,
     )
     level = water_level(vessels, cost_units)
@@ -41,8 +47,8 @@
 
 def test_moves_stop_before_the_holder_behind_gets_ahead():
     horizon = Horizon(100.0, 0.0, 0.1)
-    ahead = Holder("a", "m", [Vessel("x", 1000.0, 1e6, 1.0)], 10, 50)
-    behind = Holder("b", "m", [Vessel("y", 0.0, 1e6, 1.0)], 10, 50)
+    ahead = Holder("a", "m", [CustomerBacklog("x", 1000.0, 1e6, 1.0)], 10, 50)
+    behind = Holder("b", "m", [CustomerBacklog("y", 0.0, 1e6, 1.0)], 10, 50)
     ahead.pour(horizon)
     behind.pour(horizon)
     moves = find_moves([ahead, behind], 0, horizon, 100.0, lambda one, other: True)
--- a/tests/test_beat_table.py
+++ b/tests/test_beat_table.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, rule
 from msgspec.structs import replace
 
-from sesameford.discovery.heartbeat_table import make_beat_table
+from sesameford.discovery.heartbeat_table import make_heartbeat_table
 from sesameford.messages import HeartbeatRow
 from sesameford.tables import TargetState
 
@@ -21,7 +21,7 @@
 
     Taken as news, requests would go to where nobody listens any more.
     """
-    table = make_beat_table()
+    table = make_heartbeat_table()
     table.beat(row("t", 4, TargetState.DRAINING), 0.0)
     table.beat(row("t", 3), 1.0)
     assert table.known["t"].row.state is TargetState.DRAINING
@@ -31,7 +31,7 @@
 
 
 def test_a_leave_before_any_heartbeat_is_remembered():
-    table = make_beat_table()
+    table = make_heartbeat_table()
     table.left("t", 0.0)
     table.beat(row("t", 1), 1.0)
     assert table.known["t"].row.state is TargetState.GONE
@@ -42,7 +42,7 @@
 
     Judged by the numbers of before it would get nothing for good.
     """
-    table = make_beat_table()
+    table = make_heartbeat_table()
     table.beat(replace(row("t", 40), incarnation=1_000), 0.0)
     table.left("t", 1.0)
     assert table.beat(replace(row("t", 1), incarnation=2_000), 2.0)
@@ -53,7 +53,7 @@
 
 
 def test_the_same_again_is_told_to_nobody():
-    table = make_beat_table()
+    table = make_heartbeat_table()
     assert table.beat(row("t", 1), 0.0)
     assert not table.beat(row("t", 2), 1.0)
 
@@ -74,7 +74,7 @@
         self.now_seconds = 0.0
 
     def _empty(self, name):
-        return make_beat_table(has_disk=name != "r1")
+        return make_heartbeat_table(has_disk=name != "r1")
 
     def _send(self, sender, outgoing):
         for one in outgoing:
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from sesameford.discovery.heartbeat_table import make_beat_table, short_name
+from sesameford.discovery.heartbeat_table import make_heartbeat_table, short_name
 from sesameford.effective import DataCentreSettings, EffectiveTree, ServiceSettings
 from sesameford.gateway.calls import Prompt
 from sesameford.gateway.candidates import Nowhere
@@ -43,7 +43,7 @@
 
 def make_router(*rows, seed=1, evacuated=()):
     """Return the placement of one router over targets, and its table."""
-    table = make_beat_table()
+    table = make_heartbeat_table()
     for one in rows:
         table.beat(one, 0.0)
     placement = make_placement(table, "a", 1000.0, Random(seed))
--- a/tests/test_early_answers.py
+++ b/tests/test_early_answers.py
@@ -157,7 +157,7 @@
     async with open_desk(Fault.NONE) as desk:
         reader, writer = await open_connection(desk)
         await asyncio.sleep(0.05)
-        desk.port.take_no_more()
+        desk.port.stop_accepting()
         async with asyncio.timeout(1):
             assert await reader.read() == b""
         writer.close()
@@ -177,7 +177,7 @@
 
         def receive_and_stop(handler, data, decision):
             receive(handler, data, decision)
-            asyncio.get_running_loop().call_soon(desk.port.take_no_more)
+            asyncio.get_running_loop().call_soon(desk.port.stop_accepting)
 
         monkeypatch.setattr(EarlyHandler, "receive", receive_and_stop)
         writer.write(request_bytes(desk, "/unsafe/") + b"notes")
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -6,12 +6,14 @@
     UNFIT_SECONDS,
     Election,
 )
-from sesameford.tables import Instance, InstanceState
+from sesameford.tables import InstanceRow, InstanceState
 
 
 def observed(incarnation, now_seconds):
     """Return what an instance observes of one that would be elected before it."""
-    return {"e0": Instance("e0", incarnation, "a", InstanceState.READY, 1, now_seconds)}
+    return {
+        "e0": InstanceRow("e0", incarnation, "a", InstanceState.READY, 1, now_seconds)
+    }
 
 
 def follow(election, incarnation, now_seconds):
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from sesameford.discovery.heartbeat_table import make_beat_table
+from sesameford.discovery.heartbeat_table import make_heartbeat_table
 from sesameford.effective import DataCentreSettings, EffectiveTree, ServiceSettings
 from sesameford.evacuations import EvacuationDeps, order_evacuation
 from sesameford.gateway.calls import Prompt, PromptPart
@@ -58,7 +58,7 @@
 
 def make_three(seed=1):
     """Return a placement over two engines in each of three data centres."""
-    table = make_beat_table()
+    table = make_heartbeat_table()
     for place in "abc":
         for number in range(2):
             name = f"{place}{number}"
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -17,7 +17,7 @@
     decode_answer,
     encode_command,
 )
-from sesameford.leases import LeaseKeeper, make_lease_keeper, make_slot_keeper
+from sesameford.leases import LeaseManager, make_lease_manager, make_slot_lease_manager
 
 
 class Log:
@@ -31,7 +31,7 @@
         self.index += 1
         return decode_answer(self.machine.apply(self.index, encode_command(command)))
 
-    def serve(self, keeper: LeaseKeeper, now: float) -> None:
+    def serve(self, keeper: LeaseManager, now: float) -> None:
         asked = keeper.decide(now)
         if asked is not None:
             keeper.answered(asked, self.apply(asked.command), now)
@@ -72,8 +72,8 @@
     An engine that ignores fencing numbers would carry out the late order after the
     new holder's, so the new one waits out the order's deadline first."""
     log = Log()
-    old = make_lease_keeper("l", "old", 5.0, lease_seconds=10.0)
-    new = make_lease_keeper("l", "new", 5.0, lease_seconds=10.0)
+    old = make_lease_manager("l", "old", 5.0, lease_seconds=10.0)
+    new = make_lease_manager("l", "new", 5.0, lease_seconds=10.0)
     log.serve(old, 0.0)
     assert old.order_number(False, 0.0) == 1
     taken_at = next(
@@ -93,7 +93,7 @@
     """The log grants a lease and the answer is lost. The holder asks again, learns
     that the lease is its own, and goes on under the same number."""
     log = Log()
-    keeper = make_lease_keeper("l", "a", 5.0)
+    keeper = make_lease_manager("l", "a", 5.0)
     asked = keeper.decide(0.0)
     log.apply(asked.command)
     keeper.answered(asked, None, 5.0)
@@ -113,7 +113,7 @@
     store is rate-limited, so only as many may load as the fleet's budget says."""
     log = Log()
     keepers = [
-        make_slot_keeper(WEIGHT_STORE_GROUP, lambda: slots, f"k{number}", 5.0)
+        make_slot_lease_manager(WEIGHT_STORE_GROUP, lambda: slots, f"k{number}", 5.0)
         for number in range(7)
     ]
     now = 0.0
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -243,7 +243,7 @@
             b"X-Sesameford-Attempt-Id: x\r\nAuthorization: Bearer the-clubs-key\r\n\r\n"
         )
         assert b"200" in await reader.readuntil(b"\r\n\r\n")
-        desk.port.take_no_more()
+        desk.port.stop_accepting()
         async with asyncio.timeout(1):
             rest = await reader.read()
         assert rest == b"answer to "
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sesameford.discovery.heartbeat_table import make_beat_table
+from sesameford.discovery.heartbeat_table import make_heartbeat_table
 from sesameford.effective import ServiceSettings
 from sesameford.gateway.calls import Prompt, PromptPart
 from sesameford.gateway.candidates import Nowhere
@@ -35,7 +35,7 @@
 
 def make():
     """Return a placement over two engines in each of three data centres."""
-    table = make_beat_table()
+    table = make_heartbeat_table()
     for place in REGIONS:
         for number in range(2):
             name = f"{place}{number}"
--- a/tests/test_instance.py
+++ b/tests/test_instance.py
@@ -14,7 +14,7 @@
 from sesameford.errors import SettingsError
 from sesameford.instance import Instance
 from sesameford.settings import DaemonSettings, Listen, OperatorKey, Peer
-from sesameford.tree_replication import TreeSpread
+from sesameford.tree_replication import TreeReplication
 from sesameford.voters import wanted_voters
 
 OPERATOR_KEY = "the-operators-key"
@@ -97,7 +97,7 @@
 
     Without the push a change would wait for a heartbeat and a question instead.
     """
-    monkeypatch.setattr(TreeSpread, "due", lambda *_: ())
+    monkeypatch.setattr(TreeReplication, "due", lambda *_: ())
     settings = make_settings(tmp_path, 4, 3)
     async with running(settings) as instances, ClientSession() as session:
         for instance in instances:
--- a/tests/test_keyed_machine.py
+++ b/tests/test_keyed_machine.py
@@ -19,7 +19,7 @@
     KeyedPorts,
     KeyedRequest,
     KeyedRequests,
-    OwnerWord,
+    OwnerReply,
     RunEnd,
 )
 from sesameford.tables import Outcome
@@ -232,7 +232,7 @@
         self.agree(other)
         self.finish(step, word)
 
-    def word(self, step) -> OwnerWord:
+    def word(self, step) -> OwnerReply:
         owner, claim_index = step.detail
         return self.processes[owner.router_id].keyed.word_on(owner, claim_index)
 
--- a/tests/test_load_system.py
+++ b/tests/test_load_system.py
@@ -3,7 +3,7 @@
 import logging
 from random import Random
 
-from sesameford.discovery.heartbeat_table import make_beat_table
+from sesameford.discovery.heartbeat_table import make_heartbeat_table
 from sesameford.gateway.call_context import make_gateway_state
 from sesameford.gateway.calls import Prompt, PromptPart
 from sesameford.gateway.fleet_sums import LiveInstances
@@ -35,7 +35,7 @@
         self.replicas = []
         self.sent = []
         self.state = make_gateway_state(effective_tree(parse_tree(TREE, "t"), 1))
-        table = make_beat_table()
+        table = make_heartbeat_table()
         row = HeartbeatRow("e0", 1, "pool", "e0:1", "a", 4, TargetState.READY)
         table.beat(row, 0.0)
         self.placement = make_placement(table, "a", 1e6, Random(1))
@@ -204,7 +204,7 @@
         state = make_gateway_state(effective_tree(parse_tree(TREE, "t"), 1))
         self.load = make_load_system(
             True,
-            make_placement(make_beat_table(), "a", 1e6, Random(1)),
+            make_placement(make_heartbeat_table(), "a", 1e6, Random(1)),
             lambda: state,
             LiveInstances(
                 lambda now_seconds, within_seconds: (),
--- a/tests/test_log_core.py
+++ b/tests/test_log_core.py
@@ -37,7 +37,7 @@
     LEASE_SECONDS,
     QUORUM_SECONDS,
     Core,
-    Progress,
+    FollowerProgress,
     Role,
     SnapshotImage,
     StoredState,
@@ -170,7 +170,7 @@
     core.snapshot = image
     core.log.compact(2)
     core.chunk_bytes = 1000
-    core.progress[C] = Progress(next_index=1)
+    core.progress[C] = FollowerProgress(next_index=1)
     total = len(encode_image(image))
     offsets = []
     for wanted, at in ((1000, 10.1), (2000, 10.2), (0, 10.3)):
--- a/tests/test_log_fuzz.py
+++ b/tests/test_log_fuzz.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from sesameford.fencing import decode_answer, encode_command
-from sesameford.leases import LeaseCommand, LeaseKeeper, make_lease_keeper
+from sesameford.leases import LeaseCommand, LeaseManager, make_lease_manager
 from sesameford.log_messages import Command
 from sesameford.log_state import ELECTION_MAX_SECONDS, ELECTION_MIN_SECONDS, Role
 from tests.log_world import TICK_SECONDS, World
@@ -29,16 +29,16 @@
         self.proposals: list[Command] = []
         self.commands = 0
         self.keepers = [self._new_keeper(number) for number in range(2)]
-        self.asked: dict[str, tuple[LeaseKeeper, int, LeaseCommand]] = {}
+        self.asked: dict[str, tuple[LeaseManager, int, LeaseCommand]] = {}
         self.orders: list[tuple[int, float]] = []
         self.carried_out = 0
         self.world.listeners.append(self._lease_answered)
         self.world.run(60, Random(self.size), 0.0, 0.0)
         assert any(self._roles()), "a new fleet elects no leader"
 
-    def _new_keeper(self, number: int) -> LeaseKeeper:
+    def _new_keeper(self, number: int) -> LeaseManager:
         holder = f"k{number}-{self.commands}"
-        return make_lease_keeper("l", holder, ORDER_DEADLINE_SECONDS, LEASE_SECONDS)
+        return make_lease_manager("l", holder, ORDER_DEADLINE_SECONDS, LEASE_SECONDS)
 
     def _roles(self) -> list[str]:
         nodes = self.world.nodes
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -15,7 +15,7 @@
 from sesameford.messages import ModelUse
 from sesameford.order_service import OrderDeps, make_order_service
 from sesameford.orders import RETRY_SECONDS, Order, OrderBook, OrderKind, needed_orders
-from sesameford.tables import Instance, InstanceState, Target, TargetKind
+from sesameford.tables import InstanceRow, InstanceState, Target, TargetKind
 from tests.test_instance import apply_tree, make_settings, running
 
 ENGINE = Target("g", 1, TargetKind.MODEL, ("m1",), "http://g", "a", 4, 1e9)
@@ -91,7 +91,7 @@
     Believed, it would let the model go while answers of it are still written.
     """
     declared = {"g": TargetSettings("g", models=("m2",))}
-    other = Instance("e2", 7, "a", InstanceState.DRAINING, 3, 0.0)
+    other = InstanceRow("e2", 7, "a", InstanceState.DRAINING, 3, 0.0)
     engine = replace(ENGINE, serves=("m1", "m2"))
 
     async def propose(proposal_id, machine, command):
--- a/tests/test_outcome_rules.py
+++ b/tests/test_outcome_rules.py
@@ -21,10 +21,10 @@
     StopStep,
     accepts_requests,
     advance_stop,
-    ask_stop,
+    cancel_stop,
     hands_back_waiting,
     is_ready,
-    withdraw_stop,
+    request_stop,
 )
 from sesameford.tables import TargetKind
 
@@ -100,10 +100,10 @@
 def test_a_planned_stop_cuts_nothing_whatever_the_signals(ticks):
     """An operator stops an instance and, impatient, asks again and again. If that
     ended it early, callers would lose answers that were half written."""
-    state = ask_stop(StopState(), 0.0)
+    state = request_stop(StopState(), 0.0)
     for second, (running, waiting, unreported, asks) in enumerate(ticks, 1):
         if asks:
-            state = ask_stop(state, float(second))
+            state = request_stop(state, float(second))
         before = state
         load = StopLoad(running, waiting, unreported)
         state = advance_stop(state, load, 1.0, float(second))
@@ -117,10 +117,10 @@
 
 
 def test_callers_are_served_until_the_balancer_knows():
-    state = ask_stop(StopState(), 5.0)
+    state = request_stop(StopState(), 5.0)
     state = advance_stop(state, StopLoad(0, 0, 0), 1.0, 5.9)
     assert accepts_requests(state)
     state = advance_stop(state, StopLoad(1, 1, 0), 1.0, 6.0)
     assert not accepts_requests(state)
     assert hands_back_waiting(state, 5.0, 5.0)
-    assert is_ready(withdraw_stop(state))
+    assert is_ready(cancel_stop(state))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -5,7 +5,7 @@
 import pytest
 from msgspec.structs import replace
 
-from sesameford.discovery.heartbeat_table import make_beat_table, short_name
+from sesameford.discovery.heartbeat_table import make_heartbeat_table, short_name
 from sesameford.effective import ServiceSettings
 from sesameford.gateway.calls import Prompt, PromptPart
 from sesameford.gateway.engine_backlog import LOST_SECONDS
@@ -24,7 +24,7 @@
 
 def make(count, service="pool", slots=32):
     """Return a placement over engines e0, e1 and so on, and their table."""
-    table = make_beat_table()
+    table = make_heartbeat_table()
     for number in range(count):
         table.beat(engine(f"e{number}", 1, service, slots), 0.0)
     return make_placement(table, "a", BEAT_SECONDS, Random(1)), table
@@ -73,7 +73,7 @@
     """A subject's engine has seconds of prompts ahead of it; another is idle."""
     placement, _ = make(2)
     home = choose(placement, prompt(7), now=0.0).target_id
-    placement.take_others([others(home, 20, 200_000)])
+    placement.set_other_routers_load([others(home, 20, 200_000)])
     assert choose(placement, prompt(7), now=9.0).target_id != home
 
 
@@ -91,11 +91,11 @@
     Were sums added to each other, an engine would look busy that has nothing to do.
     """
     placement, _ = make(1)
-    placement.take_others([others("e0", 1, 900_000)])
+    placement.set_other_routers_load([others("e0", 1, 900_000)])
     assert waits(placement) > 1.0
-    placement.take_others([others("e0", 1, 10)])
+    placement.set_other_routers_load([others("e0", 1, 10)])
     assert waits(placement) < 0.01
-    placement.take_others([])
+    placement.set_other_routers_load([])
     assert waits(placement) == 0.0
 
 
@@ -161,7 +161,7 @@
     A thirty-third begins only when one of them ends; another engine begins at once.
     """
     placement, _ = make(2)
-    placement.take_others([others("e0", 32, 0), others("e1", 0, 0)])
+    placement.set_other_routers_load([others("e0", 32, 0), others("e1", 0, 0)])
     chosen = {choose(placement, prompt(n, 0, 50), now=0.0).target_id for n in range(9)}
     assert chosen == {"e1"}
 
@@ -195,7 +195,7 @@
     placement, _ = make(2)
     home = choose(placement, prompt(7), engine=COPYING_ENGINE)
     assert home.copy_from is None
-    placement.take_others([others(home.target_id, 40, 200_000)])
+    placement.set_other_routers_load([others(home.target_id, 40, 200_000)])
     elsewhere = choose(placement, prompt(7), engine=COPYING_ENGINE)
     assert elsewhere.target_id != home.target_id
     assert elsewhere.copy_from == home.address
@@ -205,7 +205,7 @@
 def test_engines_that_copy_nothing_are_not_asked_to():
     placement, _ = make(2)
     home = choose(placement, prompt(7))
-    placement.take_others([others(home.target_id, 40, 200_000)])
+    placement.set_other_routers_load([others(home.target_id, 40, 200_000)])
     elsewhere = choose(placement, prompt(7))
     assert (elsewhere.copy_from, elsewhere.tokens) == (None, 6_000)
 
@@ -222,16 +222,18 @@
     """
     placement, _ = make(4)
     assert has_room(placement, prompt(7, shared=100))
-    placement.take_others([others(f"e{number}", 2, 6_000) for number in range(3)])
+    placement.set_other_routers_load(
+        [others(f"e{number}", 2, 6_000) for number in range(3)]
+    )
     assert not has_room(placement, prompt(7, shared=100))
 
 
 def test_there_is_room_where_an_engine_has_the_parts_and_nothing_waits():
     placement, _ = make(1)
     assert has_room(placement, prompt(7))
-    placement.take_others([others("e0", 4, 20_000)])
+    placement.set_other_routers_load([others("e0", 4, 20_000)])
     assert not has_room(placement, prompt(7))
-    placement.take_others([others("e0", 20, 0)])
+    placement.set_other_routers_load([others("e0", 20, 0)])
     assert not has_room(placement, prompt(7))
 
 
@@ -343,7 +345,7 @@
     loop fell behind, and the other customers' callers there were turned away.
     """
     placement, _ = make(80)
-    placement.take_others([others(f"e{n}", 4, 90_000) for n in range(80)])
+    placement.set_other_routers_load([others(f"e{n}", 4, 90_000) for n in range(80)])
     looked_at = []
     waits_seconds = placement.waits_seconds
     monkeypatch.setattr(
@@ -363,7 +365,7 @@
     # A target is known here once something was sent there.
     lease = placement.choose("desk", None, None, 0.2, frozenset({"e1", "e2"}), 0.0)
     placement.released(lease, 0.0)
-    placement.take_failing((FailingTarget(short_name("e0"), 0.6),))
+    placement.set_failing_targets((FailingTarget(short_name("e0"), 0.6),))
     chosen = [
         placement.choose("desk", None, None, 0.2, frozenset(), 0.0).target_id
         for _ in range(40)
--- a/tests/test_plain_load.py
+++ b/tests/test_plain_load.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from sesameford.discovery.heartbeat_table import make_beat_table, short_name
+from sesameford.discovery.heartbeat_table import make_heartbeat_table, short_name
 from sesameford.effective import BackendSettings, HttpRouteSettings, ServiceSettings
 from sesameford.gateway.admit import _check_queue
 from sesameford.gateway.call_context import Refusal
@@ -47,7 +47,7 @@
     targets = ["t0", "t1"]
     deps = []
     for number in range(routers):
-        table = make_beat_table()
+        table = make_heartbeat_table()
         for name in targets:
             ready = TargetState.READY
             table.beat(
@@ -87,7 +87,7 @@
                     for name in targets
                 ]
                 own = {load.name: load for load in one.placement.loads(clock[0])}
-                one.placement.take_others(
+                one.placement.set_other_routers_load(
                     TargetLoad(load.name, load.requests - own[load.name].requests, 0)
                     if load.name in own
                     else load
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sesameford.errors import SettingsError
-from sesameford.gateway.calls import BadCallError, Sending
+from sesameford.gateway.calls import BadCallError, SendAttempt
 from sesameford.operators_http import digest_of_key
 from sesameford.tree import DeclaredTree, effective_tree
 from sesameford_platform.boot import daemon_settings, read_boot
@@ -14,7 +14,7 @@
     read_configuration,
 )
 from sesameford_platform.settings_watch import make_settings_watch
-from sesameford_platform.wire_adapter import make_edge
+from sesameford_platform.wire_adapter import make_wire_adapter
 
 BOOT = """
 node_name = "front-1"
@@ -178,7 +178,7 @@
 
 
 def read(fields):
-    return make_edge().read_call("POST", "/a/b?c", fields, list(fields.items()))
+    return make_wire_adapter().read_call("POST", "/a/b?c", fields, list(fields.items()))
 
 
 def test_a_call_is_read():
@@ -227,15 +227,15 @@
 
 
 def test_what_a_target_gets_and_says():
-    edge = make_edge()
+    edge = make_wire_adapter()
     call = read(headers())
-    sent = dict(edge.sent_headers(call, Sending("i-7", "club", 1.25, "4")))
+    sent = dict(edge.sent_headers(call, SendAttempt("i-7", "club", 1.25, "4")))
     assert sent["X-Sesameford-Deadline-Ms"] == "1250"
     assert sent["X-Sesameford-Expect-Instance"] == "i-7"
     assert sent["X-Sesameford-Tenant"] == "club"
     assert sent["Last-Event-Id"] == "4"
     assert "Kv-Fetch" not in sent
-    copying = Sending("i-7", "club", 1.25, None, "10.0.0.9:80")
+    copying = SendAttempt("i-7", "club", 1.25, None, "10.0.0.9:80")
     assert dict(edge.sent_headers(call, copying))["Kv-Fetch"] == "10.0.0.9:80"
     head = edge.read_answer(503, [("x-sesameford-not-executed", "1")])
     assert head.not_run
--- a/tests/test_platform_fleet.py
+++ b/tests/test_platform_fleet.py
@@ -7,12 +7,12 @@
 
 from aiohttp import ClientSession, TCPConnector
 
-from sesameford.gateway.gateway_node import make_node
+from sesameford.gateway.gateway_node import make_gateway_node
 from sesameford.gateway.serve import serve_call
 from sesameford.http_ports import listen, listen_calls
 from sesameford.settings import DaemonSettings, Listen
 from sesameford_platform.control import make_control_app
-from sesameford_platform.wire_adapter import make_edge
+from sesameford_platform.wire_adapter import make_wire_adapter
 from standins.platform_server import make_platform_server
 from tests.test_platform_adapter import CONFIGURATION
 
@@ -50,7 +50,7 @@
             founds=self.founds,
             data_folder=str(self.folder / f"i{number}") if is_replica else None,
         )
-        node = make_node(settings, "test", make_edge())
+        node = make_gateway_node(settings, "test", make_wire_adapter())
         stack = self.stacks[number] = AsyncExitStack()
         stack.push_async_callback(node.close)
         await node.start()
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sesameford.suspects import Standing, Suspects, name_death
+from sesameford.suspects import Suspects, SuspectTreatment, name_death
 
 POISON = b"poison"
 
@@ -33,21 +33,21 @@
     for number, entry in enumerate(entries):
         now_seconds = float(number)
         standing = routers[entry].standing(POISON, now_seconds)
-        if standing is not Standing.QUARANTINED:
+        if standing is not SuspectTreatment.QUARANTINED:
             lost += 1
             death = name_death("t", next(incarnation))
-            alone = standing is Standing.SUSPECT
+            alone = standing is SuspectTreatment.SUSPECT
             routers[entry].died(death, [POISON], now_seconds)
             if not alone:
                 routers[(entry + 1) % 4].died(death, innocents, now_seconds)
         spread(routers, now_seconds)
     assert lost == 2
     for router in routers:
-        assert router.standing(POISON, 20.0) is Standing.QUARANTINED
+        assert router.standing(POISON, 20.0) is SuspectTreatment.QUARANTINED
         for innocent in innocents:
-            assert router.standing(innocent, 20.0) is Standing.SUSPECT
+            assert router.standing(innocent, 20.0) is SuspectTreatment.SUSPECT
             router.completed(innocent, 20.0)
-            assert router.standing(innocent, 20.0) is Standing.CLEAR
+            assert router.standing(innocent, 20.0) is SuspectTreatment.CLEAR
 
 
 def test_two_suspects_on_one_target_are_told_apart_before_one_is_refused():
@@ -56,12 +56,12 @@
     suspects = Suspects(300.0)
     for death in ("t/1", "t/2"):
         suspects.died(death, [POISON, b"innocent"], 0.0)
-    assert suspects.standing(POISON, 1.0) is Standing.SUSPECT
-    assert suspects.standing(b"innocent", 1.0) is Standing.SUSPECT
+    assert suspects.standing(POISON, 1.0) is SuspectTreatment.SUSPECT
+    assert suspects.standing(b"innocent", 1.0) is SuspectTreatment.SUSPECT
     suspects.completed(b"innocent", 2.0)
     suspects.died("t/3", [POISON], 3.0)
-    assert suspects.standing(b"innocent", 4.0) is Standing.CLEAR
-    assert suspects.standing(POISON, 4.0) is Standing.QUARANTINED
+    assert suspects.standing(b"innocent", 4.0) is SuspectTreatment.CLEAR
+    assert suspects.standing(POISON, 4.0) is SuspectTreatment.QUARANTINED
 
 
 def test_a_quarantine_ends_doubles_and_can_be_lifted():
@@ -70,11 +70,11 @@
         suspects.died(death, [POISON], 0.0)
     ((row, left_seconds),) = suspects.quarantined(100.0)
     assert (row.body_digest, left_seconds) == (POISON, 200.0)
-    assert suspects.standing(POISON, 301.0) is Standing.SUSPECT
+    assert suspects.standing(POISON, 301.0) is SuspectTreatment.SUSPECT
     suspects.died("t/3", [POISON], 302.0)
     assert suspects.quarantine_left_seconds(POISON, 302.0) == 600.0
     suspects.configure(300.0, lifted=[POISON])
-    assert suspects.standing(POISON, 303.0) is Standing.CLEAR
+    assert suspects.standing(POISON, 303.0) is SuspectTreatment.CLEAR
 
 
 _STEPS = st.lists(
@@ -120,4 +120,4 @@
     suspects.died("t/1", [b"%d" % number for number in range(100)], 0.0)
     known = [b"%d" % number for number in range(100)]
     standings = [suspects.standing(digest, 1.0) for digest in known]
-    assert standings.count(Standing.SUSPECT) == 10
+    assert standings.count(SuspectTreatment.SUSPECT) == 10
--- a/tests/test_target_spread_fuzz.py
+++ b/tests/test_target_spread_fuzz.py
@@ -16,7 +16,7 @@
     TargetRowsRequest,
 )
 from sesameford.tables import TargetKind
-from sesameford.target_replication import VOUCHED_LEASE_SECONDS, make_target_spread
+from sesameford.target_replication import VOUCHED_LEASE_SECONDS, make_target_replication
 from sesameford.targets import TargetRegistry
 
 LEASE_SECONDS = 2.0
@@ -67,7 +67,7 @@
         self.starts += 1
         self.nodes[name] = Node(incarnation=self.starts * 1000)
         is_hub = self.hubs and name in ("h0", "h1")
-        spread = make_target_spread(
+        spread = make_target_replication(
             self.nodes[name].registry,
             name,
             self.nodes[name].incarnation,
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -5,7 +5,7 @@
 
 from sesameford.messages import TargetAnnouncement
 from sesameford.tables import TargetKind
-from sesameford.target_replication import make_target_spread
+from sesameford.target_replication import make_target_replication
 from sesameford.targets import TargetRegistry
 
 
@@ -39,7 +39,7 @@
     arrivals = [*said.values(), *said.values()]
     random.shuffle(arrivals)
     registry = TargetRegistry()
-    spread = make_target_spread(registry, "e1", 1, False)
+    spread = make_target_replication(registry, "e1", 1, False)
     heard = [item for item in arrivals if spread.announced(item, 0.0)]
     stamps = [(item.incarnation, item.announcement_sequence) for item in heard]
     assert stamps == sorted(stamps)
@@ -55,7 +55,7 @@
     """A target says that it leaves, and an announcement of its own that was on the
     way arrives after that with a later number."""
     registry = TargetRegistry()
-    spread = make_target_spread(registry, "e1", 1, False)
+    spread = make_target_replication(registry, "e1", 1, False)
     spread.announced(news(1, 1), 0.0)
     assert spread.left("t", 1, 2, 0.5)
     spread.announced(news(1, 3), 0.6)
@@ -66,7 +66,7 @@
 
 def test_targets_of_an_evacuated_data_centre_get_no_new_work():
     registry = TargetRegistry()
-    spread = make_target_spread(registry, "e1", 1, False)
+    spread = make_target_replication(registry, "e1", 1, False)
     spread.announced(news(1, 1), 0.0)
     place = registry.get("t").target.data_centre
     assert registry.usable({}, 0.5)
@@ -77,7 +77,7 @@
     """A target dies silently. Until its lease runs out each router learns by its own
     failed connections, and then goes back to it more and more rarely."""
     registry = TargetRegistry()
-    spread = make_target_spread(registry, "e1", 1, False)
+    spread = make_target_replication(registry, "e1", 1, False)
     spread.announced(news(lease=10.0), 0.0)
     registry.suspend("t", 1, 1.0)
     assert not registry.usable({}, 1.4)
@@ -95,7 +95,7 @@
     """A target crashes seconds after each start. Given a full load at once it would
     cut all of that each time."""
     registry = TargetRegistry()
-    spread = make_target_spread(registry, "e1", 1, False)
+    spread = make_target_replication(registry, "e1", 1, False)
     waits = []
     for incarnation in range(1, 7):
         started = incarnation * 5.0
@@ -109,7 +109,7 @@
 
 def test_a_new_incarnation_tells_that_the_old_one_is_gone():
     registry = TargetRegistry()
-    spread = make_target_spread(registry, "e1", 1, False)
+    spread = make_target_replication(registry, "e1", 1, False)
     gone = []
     registry.on_replaced(lambda *what: gone.append(what))
     spread.announced(news(1), 0.0)
--- a/tests/test_tree_fuzz.py
+++ b/tests/test_tree_fuzz.py
@@ -16,7 +16,7 @@
 )
 
 from sesameford.messages import TreeRequest
-from sesameford.tables import Instance, InstanceState
+from sesameford.tables import InstanceRow, InstanceState
 from sesameford.tree import difference, effective_tree, parse_tree
 from sesameford.tree_changes import (
     TreeMachine,
@@ -28,7 +28,7 @@
 from sesameford.tree_replication import (
     ASK_AGAIN_SECONDS,
     WHOLE_AGAIN_SECONDS,
-    TreeSpread,
+    TreeReplication,
 )
 
 ONE, OTHER = "a1" * 32, "b2" * 32
@@ -85,7 +85,7 @@
             self.machines[one] = self._machine(one)
 
     def _start_empty(self, one):
-        self.spreads[one] = TreeSpread(
+        self.spreads[one] = TreeReplication(
             one, PLACES[one], len(PLACES) - 1, self.now, self.direct
         )
         self.heard[one] = {}
@@ -194,7 +194,7 @@
     def beat(self, sender, receiver):
         if sender != receiver:
             revision = self.spreads[sender].in_force.tree.revision
-            self.heard[receiver][sender] = Instance(
+            self.heard[receiver][sender] = InstanceRow(
                 sender, 1, PLACES[sender], InstanceState.READY, revision, self.now
             )
 
--- a/tests/test_tree_spread.py
+++ b/tests/test_tree_spread.py
@@ -4,14 +4,14 @@
 
 from sesameford.errors import PeerError
 from sesameford.messages import TreeRequest, TreeSnapshot, TreeStepRow, TreeSteps
-from sesameford.tables import Instance, InstanceState
+from sesameford.tables import InstanceRow, InstanceState
 from sesameford.tree import (
     TreeDifference,
     difference,
     parse_tree,
     tree_digest,
 )
-from sesameford.tree_replication import LISTEN_SECONDS, TreeSpread
+from sesameford.tree_replication import LISTEN_SECONDS, TreeReplication
 from sesameford.tree_store import KEPT_STEPS, TreeStep
 
 NODES = dict(parse_tree("customers: {children: {a: {}}}", "t").nodes)
@@ -19,11 +19,11 @@
 
 
 def make_spread(name="e1", place="a", peers=2, fanout=16):
-    return TreeSpread(name, place, peers, 0.0, fanout)
+    return TreeReplication(name, place, peers, 0.0, fanout)
 
 
 def peer(name, place="a", revision=0):
-    return Instance(name, 1, place, InstanceState.READY, revision, 0.0)
+    return InstanceRow(name, 1, place, InstanceState.READY, revision, 0.0)
 
 
 def commit_steps(spread, count):
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -3,14 +3,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sesameford.windows import Pace, adapt_window, make_window, regrow_window
+from sesameford.windows import (
+    CompletionTotals,
+    adapt_window,
+    make_window,
+    regrow_window,
+)
 
 NOW_SECONDS = 100.0
 
 
 def run_rounds(window, rounds, seconds_per_unit):
     for _ in range(rounds):
-        pace = Pace(20, 2000.0, 2000.0 * seconds_per_unit)
+        pace = CompletionTotals(20, 2000.0, 2000.0 * seconds_per_unit)
         window = adapt_window(window, pace, NOW_SECONDS)
     return window
 
@@ -36,7 +41,7 @@
 def test_a_window_stays_between_half_and_all_of_the_announced_slots(announced, rounds):
     window = make_window(announced)
     for completions, seconds in rounds:
-        pace = Pace(completions, 10.0 * completions, seconds * completions)
+        pace = CompletionTotals(completions, 10.0 * completions, seconds * completions)
         window = adapt_window(window, pace, NOW_SECONDS)
         assert max(1, round(announced / 2)) <= window.slots <= announced
 
