--- a/sesameford/gateway/admit.py
+++ b/sesameford/gateway/admit.py
@@ -135,12 +135,12 @@
     has_left = lateness_seconds > min(UNREAD_SECONDS, UNREAD_PART * patience_seconds)
     is_limited = customer in deps.gate.fractions
     if prompt is not None and (has_left or not is_limited):
-        deps.gate.rejected(customer, prompt.cost_tokens)
+        deps.gate.record_rejection(customer, prompt.cost_tokens)
     elif prompt is not None:
         has_earned = deps.gate.admits(customer, route.route_id, prompt.cost_tokens)
         if has_earned:
             return
-    deps.gate.account.refused_late()
+    deps.gate.account.record_late_refusal()
     is_flood_of_others = deps.gate.fractions and not is_limited
     raise Refusal(
         503,
--- a/sesameford/gateway/load_system.py
+++ b/sesameford/gateway/load_system.py
@@ -106,7 +106,7 @@
         whole_age_seconds = now_seconds - self._whole_at_seconds
         if fleet.is_whole or whole_age_seconds > REPORT_VALID_SECONDS:
             self._placement.set_other_routers_load(fleet.target_loads)
-            self.gate.take(fleet.shares)
+            self.gate.set_fractions(fleet.shares)
 
     def received(self, router_id: str, load: RouterLoad, now_seconds: float) -> None:
         """Take at a replica what a router reports."""
@@ -224,7 +224,7 @@
         )
         wanted_wait_seconds = WAIT_PART * state.shortest_objective_seconds
         self._own_shares.tick((own,), declared_tokens, wanted_wait_seconds, now_seconds)
-        self.gate.take(self._own_shares.rows())
+        self.gate.set_fractions(self._own_shares.rows())
 
     def _note_source(self, now_seconds: float) -> None:
         """Log whether shares come from a replica or from what is asked here."""
@@ -261,9 +261,9 @@
                 ),
                 "routers": shares.routers,
                 "capacity_tokens": round(shares.capacity_tokens),
-                "asked_tokens": round(sum(shares.asked_tokens.values())),
+                "asked_tokens": round(sum(shares.requested_tokens.values())),
                 "wait_seconds": round(shares.wait_seconds, 4),
-                "wanted_seconds": round(shares.wanted_wait_seconds, 4),
+                "wanted_seconds": round(shares.wait_setpoint_seconds, 4),
             },
         )
 
@@ -279,8 +279,8 @@
         The refusals of a flooded router are too many for a line each; their number and
         the longest lateness of the loop stand here.
         """
-        customers = self.gate.account.figures(self.gate.fractions)
-        late_requests = self.gate.account.take_late_requests()
+        customers = self.gate.account.format_sums(self.gate.fractions)
+        late_requests = self.gate.account.pop_late_requests()
         late_seconds = self.lag.take_longest_seconds()
         if not self.gate.fractions and not late_requests:
             return
--- a/sesameford/gateway/serve.py
+++ b/sesameford/gateway/serve.py
@@ -211,7 +211,7 @@
     async for chunk in exchange.chunks():
         if run.event_came(deps.now()):
             if run.call.prompt is not None:
-                deps.gate.began(run.customer or "", run.call.prompt.cost_tokens)
+                deps.gate.record_start(run.customer or "", run.call.prompt.cost_tokens)
                 _note_begin(deps, run)
             deps.placement.first_event(lease, deps.now())
         deps.placement.heard(lease, deps.now())
@@ -265,14 +265,16 @@
     Where a target failed before, that says nothing of how long prompts wait.
     """
     if run.sendings == 1 and run.first_event_seconds is not None:
-        deps.gate.timeliness.began(run.first_event_seconds, run.route.objective_seconds)
+        deps.gate.timeliness.record_answer_start(
+            run.first_event_seconds, run.route.objective_seconds
+        )
 
 
 def _note_failed(deps: GatewayDeps, run: CallContext, lease: Reservation) -> None:
     """Note a request that its target took and failed."""
     deps.placement.record_bad_answer(lease.target_id)
     if run.call.prompt is not None and run.first_event_seconds is None:
-        deps.gate.failed(run.call.prompt.cost_tokens)
+        deps.gate.record_failure(run.call.prompt.cost_tokens)
 
 
 def _may_send_again(deps: GatewayDeps, run: CallContext, error: SendingError) -> bool:
--- a/sesameford/gateway/share_account.py
+++ b/sesameford/gateway/share_account.py
@@ -55,25 +55,25 @@
         self._late_requests = 0
         self._by_customer: dict[str, _Sums] = defaultdict(_Sums)
 
-    def asked(self, customer: str, tokens: int, admission: Admission) -> None:
+    def record_request(self, customer: str, tokens: int, admission: Admission) -> None:
         """Count a request, and what became of it at the gate."""
         self.totals[admission] += tokens
         self._by_customer[customer].add(admission, tokens)
 
-    def refused_late(self) -> None:
+    def record_late_refusal(self) -> None:
         """Count a request that is refused because the loop is late."""
         self._late_requests += 1
 
-    def take_late_requests(self) -> int:
+    def pop_late_requests(self) -> int:
         """Return the requests refused by a late loop since this was asked last."""
         late_requests, self._late_requests = self._late_requests, 0
         return late_requests
 
-    def began(self, customer: str, tokens: int) -> None:
+    def record_start(self, customer: str, tokens: int) -> None:
         """Count a request whose answer an engine has begun."""
         self._by_customer[customer].begun += tokens
 
-    def figures(self, fractions: Mapping[str, float]) -> str:
+    def format_sums(self, fractions: Mapping[str, float]) -> str:
         """Return the sums of those that asked most, and begin anew.
 
         Args:
--- a/sesameford/gateway/share_gate.py
+++ b/sesameford/gateway/share_gate.py
@@ -106,25 +106,25 @@
         """
         self._rates.setdefault(customer, _Rates()).asked.add(tokens)
         admission = self._admission(customer, route_id, has_room)
-        self.account.asked(customer, tokens, admission)
+        self.account.record_request(customer, tokens, admission)
         return admission is not Admission.REFUSED
 
-    def rejected(self, customer: str, tokens: int) -> None:
+    def record_rejection(self, customer: str, tokens: int) -> None:
         """Count a request of a customer without a limit that is turned away.
 
         It is asked for all the same: counted as nothing, a flood that is turned away
         would never be limited, and never get a share.
         """
         self._rates.setdefault(customer, _Rates()).asked.add(tokens)
-        self.account.asked(customer, tokens, Admission.REFUSED)
+        self.account.record_request(customer, tokens, Admission.REFUSED)
 
-    def began(self, customer: str, tokens: int) -> None:
+    def record_start(self, customer: str, tokens: int) -> None:
         """Count a request whose answer an engine has begun."""
         self.handled.add(tokens)
         self._rates.setdefault(customer, _Rates()).begun.add(tokens)
-        self.account.began(customer, tokens)
+        self.account.record_start(customer, tokens)
 
-    def failed(self, tokens: int) -> None:
+    def record_failure(self, tokens: int) -> None:
         """Count a request that an engine took and failed before its answer began."""
         self.handled.add(tokens)
 
@@ -152,7 +152,7 @@
         """
         return self.random.random() * self._most_odds < _odds(fraction)
 
-    def take(self, rows: Iterable[ShareRow]) -> None:
+    def set_fractions(self, rows: Iterable[ShareRow]) -> None:
         """Take the present fractions; credit of who is not limited is dropped."""
         self.fractions = {row.customer: row.fraction for row in rows}
         self._most_odds = min(
--- a/sesameford/gateway/shares.py
+++ b/sesameford/gateway/shares.py
@@ -41,7 +41,7 @@
 class ShareTable:
     """What customers ask in sum, and the shares that follow.
 
-    ``asked_tokens`` are tokens a second by customer; ``fractions`` are of those that
+    ``requested_tokens`` are tokens a second by customer; ``fractions`` are of those that
     don't get all. Demands are averages and not totals, so a replica that begins to
     add up knows as much as the one before it as soon as it has heard all routers, and
     reports that were held up and come together count once.
@@ -49,8 +49,8 @@
 
     capacity_tokens: float = FIRST_CAPACITY_TOKENS
     wait_seconds: float = 0.0
-    wanted_wait_seconds: float = 0.0
-    asked_tokens: Mapping[str, int] = field(default_factory=dict)
+    wait_setpoint_seconds: float = 0.0
+    requested_tokens: Mapping[str, int] = field(default_factory=dict)
     fractions: dict[str, float] = field(default_factory=dict)
     routers: int = 0
     _mean_available_part: float = 1.0
@@ -78,29 +78,29 @@
         declared_tokens = (declared_tokens or FIRST_CAPACITY_TOKENS) * available_part
         self.routers = sum(load.routers for load in loads)
         rows = customers_added_up(load.customers for load in loads)
-        self.asked_tokens = {row.customer: row.requested_tokens for row in rows}
+        self.requested_tokens = {row.customer: row.requested_tokens for row in rows}
         begun_tokens = {row.customer: row.started_tokens for row in rows}
-        self.wanted_wait_seconds = wanted_wait_seconds * wait_factor(
+        self.wait_setpoint_seconds = wanted_wait_seconds * wait_factor(
             sum(load.in_time_answers for load in loads),
             sum(load.late_answers for load in loads),
-            sum(self.asked_tokens.values()),
+            sum(self.requested_tokens.values()),
             sum(load.handled_tokens for load in loads),
         )
         self.capacity_tokens = self._capacity(
-            loads, declared_tokens, self.wanted_wait_seconds, left_part
+            loads, declared_tokens, self.wait_setpoint_seconds, left_part
         )
-        even = fair_amounts(self.asked_tokens, self.capacity_tokens)
+        even = fair_amounts(self.requested_tokens, self.capacity_tokens)
         self._balance.settle(even, begun_tokens, now_seconds)
         limited = {
             customer: asked
-            for customer, asked in self.asked_tokens.items()
+            for customer, asked in self.requested_tokens.items()
             if even[customer] < asked
         }
         weights = self._balance.weights(limited)
-        amounts = fair_amounts(self.asked_tokens, self.capacity_tokens, weights)
+        amounts = fair_amounts(self.requested_tokens, self.capacity_tokens, weights)
         self.fractions = {
             customer: amounts[customer] / asked
-            for customer, asked in self.asked_tokens.items()
+            for customer, asked in self.requested_tokens.items()
             if amounts[customer] < asked
         }
 
--- a/sesameford/gateway/timeliness.py
+++ b/sesameford/gateway/timeliness.py
@@ -32,7 +32,9 @@
     _in_time: TokenRate = field(default_factory=lambda: TokenRate(AVERAGE_SECONDS))
     _late: TokenRate = field(default_factory=lambda: TokenRate(AVERAGE_SECONDS))
 
-    def began(self, took_seconds: float, objective_seconds: float) -> None:
+    def record_answer_start(
+        self, took_seconds: float, objective_seconds: float
+    ) -> None:
         """Count an answer that has begun.
 
         Args:
--- a/standins/virtual_shares.py
+++ b/standins/virtual_shares.py
@@ -257,7 +257,7 @@
         if not is_in:
             return
         if self._draws.random() < self.failed_part:
-            self.routers[router].gate.failed(tokens)
+            self.routers[router].gate.record_failure(tokens)
         else:
             self._queue.add(name, router, tokens)
 
@@ -271,7 +271,7 @@
 
     def _begin(self) -> None:
         for name, router, tokens in self._queue.pass_time(REPORT_SECONDS):
-            self.routers[router].gate.began(name, tokens)
+            self.routers[router].gate.record_start(name, tokens)
             self.ledger.began(name, tokens, int(self.now_seconds))
 
     def _beat(self) -> None:
--- a/tests/test_fleet_sums.py
+++ b/tests/test_fleet_sums.py
@@ -79,7 +79,7 @@
     sums.received("r2", RouterLoad(()), 1.0)
     sums.ended("r1")
     assert sent(sums, 1.0) == {"r2": FleetLoad((), 1, (), (), False, 1, 1)}
-    assert not sums.shares.asked_tokens
+    assert not sums.shares.requested_tokens
 
 
 def test_reports_that_were_held_up_count_once():
@@ -92,7 +92,7 @@
         customers = (CustomerRates("a", 20_000),)
         sums.received("r1", RouterLoad((), customers, 0.0, 20_000.0), 1.0)
     sent(sums, 1.0)
-    assert sums.shares.asked_tokens == {"a": 20_000}
+    assert sums.shares.requested_tokens == {"a": 20_000}
     assert sums.shares.fractions == {}
 
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -286,7 +286,7 @@
     tree = effective_tree(parse_tree(FLOODED_TREE, "t"), 1)
     async with open_desk(Fault.NONE, tree=tree) as desk:
         flood = tree.customer_ids_by_digest[digest_of_key(FLOOD_KEY)]
-        desk.deps.gate.take((ShareRow(flood, 0.1),))
+        desk.deps.gate.set_fractions((ShareRow(flood, 0.1),))
         desk.deps.lag.ran(0.0, monotonic() - 1.0)
         desk.deps.lag.ran(60.0, monotonic())
         status, _, headers = await desk.ask("/safe/")
@@ -314,7 +314,7 @@
     )
     async with open_desk(Fault.NONE, tree=tree) as desk:
         flood = tree.customer_ids_by_digest[digest_of_key(FLOOD_KEY)]
-        desk.deps.gate.take((ShareRow(flood, 0.25),))
+        desk.deps.gate.set_fractions((ShareRow(flood, 0.25),))
         desk.deps.lag.late_seconds = late_seconds
         prompt = {
             "X-Sesameford-Model": "m",
--- a/tests/test_load_system.py
+++ b/tests/test_load_system.py
@@ -130,7 +130,7 @@
         gate.admits("by-share", "stream", 1_000)
         gate.admits("by-room", "stream", 300, lambda: True)
         gate.admits("open", "stream", 2_000)
-    gate.began("by-share", 4_000)
+    gate.record_start("by-share", 4_000)
     router.load.log_shares(1.5)
     (line,) = [one for one in caplog.records if one.message == "shares served"]
     assert line.replica == "replica-1"
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -99,11 +99,11 @@
         begun = engines.pass_time()
         waits.append(engines.wait_seconds)
         rows = gate.rows(now_seconds)
-        gate.began("all", begun)
+        gate.record_start("all", begun)
         handled_tokens = gate.handled.tokens_per_second(now_seconds)
         load = PartialLoad(1, (), rows, engines.wait_seconds, handled_tokens)
         table.tick((load,), DECLARED_TOKENS, WANTED_WAIT_SECONDS, now_seconds)
-        gate.take(table.rows())
+        gate.set_fractions(table.rows())
     return served, waits
 
 
@@ -188,7 +188,7 @@
 
 def test_each_route_of_a_limited_customer_gets_its_part():
     gate = make_share_gate(Random(1))
-    gate.take((ShareRow("a", 0.5),))
+    gate.set_fractions((ShareRow("a", 0.5),))
     for route in ("large", "small"):
         admitted = sum(gate.admits("a", route, 10) for _ in range(100))
         assert admitted == 50
@@ -201,7 +201,7 @@
     Counted together and in order, it would get only headlines at a half.
     """
     gate = make_share_gate(Random(1))
-    gate.take((ShareRow("a", fraction),))
+    gate.set_fractions((ShareRow("a", fraction),))
     admitted = {"draft": 0, "headline": 0}
     for _ in range(200):
         for route in admitted:
@@ -212,7 +212,7 @@
 
 def test_a_route_does_not_wait_for_one_that_is_asked_for_no_more():
     gate = make_share_gate(Random(1))
-    gate.take((ShareRow("a", 0.05),))
+    gate.set_fractions((ShareRow("a", 0.05),))
     for _ in range(7):
         gate.admits("a", "before", 10)
     admitted = sum(gate.admits("a", "now", 10) for _ in range(400))
@@ -221,7 +221,7 @@
 
 def test_a_customer_that_is_not_limited_is_always_admitted():
     gate = make_share_gate(Random(1))
-    gate.take((ShareRow("a", 0.1),))
+    gate.set_fractions((ShareRow("a", 0.1),))
     assert all(gate.admits("b", "r", 1_000_000) for _ in range(100))
 
 
@@ -231,7 +231,7 @@
     Turning its requests away would serve nobody else sooner.
     """
     gate = make_share_gate(Random(1))
-    gate.take((ShareRow("a", 0.01),))
+    gate.set_fractions((ShareRow("a", 0.01),))
     assert all(gate.admits("a", "r", 10, lambda: True) for _ in range(50))
     admitted = sum(gate.admits("a", "r", 10, lambda: False) for _ in range(50))
     assert admitted <= 1
@@ -255,8 +255,8 @@
         now_seconds = number / 90
         if now_seconds % dropped_each_seconds < 1 / 90:
             for gate in gates:
-                gate.take(())
-                gate.take((ShareRow("a", fraction),))
+                gate.set_fractions(())
+                gate.set_fractions((ShareRow("a", fraction),))
         gate, route = random.choice(gates), random.choice(("r1", "r2", "r3"))
         admitted += gate.admits("a", route, 1_000)
     # Nobody gets less than half of what another gets who is told the same.
@@ -279,7 +279,7 @@
     gates = [make_share_gate(Random(number)) for number in range(70)]
     reached = {"wide": gates, "narrow": gates[:2]}
     for gate in gates:
-        gate.take(fractions)
+        gate.set_fractions(fractions)
     got = {}
     for name, rate in asked.items():
         got[name] = sum(
@@ -308,12 +308,12 @@
         for name, gate in gates.items():
             for _ in range(20):
                 if name == "flood" and name not in gate.fractions:
-                    gate.rejected(name, 1_000)
+                    gate.record_rejection(name, 1_000)
                 elif gate.admits(name, "r", 1_000):
                     got[name] += 1
         rows = sum((gate.rows(now_seconds) for gate in gates.values()), ())
         load = PartialLoad(2, (), rows, 0.0, DECLARED_TOKENS)
         table.tick((load,), DECLARED_TOKENS, WANTED_WAIT_SECONDS, now_seconds)
         for gate in gates.values():
-            gate.take(table.rows())
+            gate.set_fractions(table.rows())
     assert got["flood"] > 0.8 * got["rival"]
--- a/tests/test_timeliness.py
+++ b/tests/test_timeliness.py
@@ -39,8 +39,8 @@
     timeliness.in_time_answers(0.0)
     timeliness.late_answers(0.0)
     for _ in range(30):
-        timeliness.began(0.4, 0.6)
-        timeliness.began(0.4, 0.25)
+        timeliness.record_answer_start(0.4, 0.6)
+        timeliness.record_answer_start(0.4, 0.25)
     assert timeliness.in_time_answers(0.1) == timeliness.late_answers(0.1) > 0
 
 
@@ -61,4 +61,4 @@
             late_answers=answers * late_part,
         )
         table.tick([load], 1_000_000.0, WANTED_SECONDS, step * TICK_SECONDS)
-    assert least <= table.wanted_wait_seconds / WANTED_SECONDS <= most
+    assert least <= table.wait_setpoint_seconds / WANTED_SECONDS <= most
