--- a/sesameford/discovery/heartbeat_table.py
+++ b/sesameford/discovery/heartbeat_table.py
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class HeartbeatTable:
-    """All rows at one instance; made empty, filled by ``beat`` and ``received``.
+    """All rows at one instance; made empty, filled by ``handle_heartbeat`` and ``handle_message``.
 
     No target is cold after ``cold_until_seconds``.
 
@@ -50,7 +50,7 @@
     """
 
     has_disk: bool = False
-    known: dict[str, HeartbeatEntry] = field(default_factory=dict)
+    entries: dict[str, HeartbeatEntry] = field(default_factory=dict)
     changes: int = 0
     cold_until_seconds: float = float("-inf")
     _names: dict[int, str] = field(default_factory=dict)
@@ -58,7 +58,7 @@
     _beat_here: set[int] = field(default_factory=set)
     _asked_at_seconds: dict[str, float] = field(default_factory=dict)
 
-    def beat(
+    def handle_heartbeat(
         self, row: HeartbeatRow, now_seconds: float, token: int = 0
     ) -> Sequence[Outgoing]:
         """Take a target's own heartbeat or leave.
@@ -76,18 +76,18 @@
             return ()
         return [Outgoing(None, HeartbeatRows((row,), token), urgent=True)]
 
-    def left(
+    def handle_leave(
         self, target_id: str, now_seconds: float, token: int = 0
     ) -> Sequence[Outgoing]:
         """Take a target's word that it ends; nothing brings this id back."""
-        known = self.known.get(target_id)
+        known = self.entries.get(target_id)
         if known is None:
             row = HeartbeatRow(target_id, 0, "", "", "", 0, TargetState.GONE)
         else:
             row = replace(known.row, state=TargetState.GONE)
-        return self.beat(row, now_seconds, token)
+        return self.handle_heartbeat(row, now_seconds, token)
 
-    def received(
+    def handle_message(
         self, sender_id: str, message: Message, now_seconds: float
     ) -> Sequence[Outgoing]:
         """Take a message about targets from another instance."""
@@ -101,28 +101,28 @@
             case RecentHeartbeats():
                 return self._compare(sender_id, message, now_seconds)
             case HeartbeatRowsRequest():
-                rows = tuple(one.row for one in self.known.values())
+                rows = tuple(one.row for one in self.entries.values())
                 return [Outgoing(sender_id, HeartbeatRows(rows), urgent=True)]
         return ()
 
-    def by_name(self, name: int) -> HeartbeatEntry | None:
+    def find_by_name(self, name: int) -> HeartbeatEntry | None:
         """Return a target by its short name, None if nothing is known of it."""
-        return self.known.get(self._names.get(name, ""))
+        return self.entries.get(self._names.get(name, ""))
 
-    def heard(self) -> RecentHeartbeats:
+    def make_recent_heartbeats(self) -> RecentHeartbeats:
         """Return what to tell the others regularly."""
         names, self._beat_here = tuple(self._beat_here), set()
         return RecentHeartbeats(names, self._digest)
 
     def forget(self, now_seconds: float) -> None:
         """Drop the rows of targets that ended long ago."""
-        for target_id, one in list(self.known.items()):
+        for target_id, one in list(self.entries.items()):
             gone_at_seconds = one.gone_at_seconds
             if gone_at_seconds is None:
                 continue
             if now_seconds - gone_at_seconds > TOMBSTONE_SECONDS:
                 self._digest ^= _digest_of(one.row)
-                del self.known[target_id]
+                del self.entries[target_id]
                 self._names.pop(short_name(target_id), None)
 
     def _take(self, row: HeartbeatRow, now_seconds: float) -> bool:
@@ -133,7 +133,7 @@
         drains, and requests would be sent to where nobody listens. The number only
         grows, and a target that is gone has ended for good.
         """
-        known = self.known.get(row.target_id)
+        known = self.entries.get(row.target_id)
         if known is None or row.incarnation > known.row.incarnation:
             self._put(row, now_seconds)
             return True
@@ -153,13 +153,13 @@
         return True
 
     def _put(self, row: HeartbeatRow, now_seconds: float) -> None:
-        known = self.known.get(row.target_id)
+        known = self.entries.get(row.target_id)
         if known is not None:
             self._digest ^= _digest_of(known.row)
         self._digest ^= _digest_of(row)
         gone_at_seconds = now_seconds if row.state is TargetState.GONE else None
         cold_until_seconds = now_seconds + row.cold_milliseconds / 1000
-        self.known[row.target_id] = HeartbeatEntry(
+        self.entries[row.target_id] = HeartbeatEntry(
             row, now_seconds, cold_until_seconds, gone_at_seconds
         )
         self.cold_until_seconds = max(self.cold_until_seconds, cold_until_seconds)
@@ -172,7 +172,7 @@
         for name in message.names:
             target_id = self._names.get(name)
             if target_id is not None:
-                self.known[target_id].last_seen_at_seconds = now_seconds
+                self.entries[target_id].last_seen_at_seconds = now_seconds
         if message.digest == self._digest:
             return ()
         asked_at_seconds = self._asked_at_seconds.get(sender_id)
--- a/sesameford/gateway/candidates.py
+++ b/sesameford/gateway/candidates.py
@@ -183,7 +183,7 @@
         """Return the targets of some services, those of evacuated data centres too."""
         return [
             known
-            for known in self._table.known.values()
+            for known in self._table.entries.values()
             if known.row.service in services and known.row.state is TargetState.READY
         ]
 
@@ -212,7 +212,7 @@
             return
         self._seen_changes = self._table.changes
         self._by_service = {}
-        for known in self._table.known.values():
+        for known in self._table.entries.values():
             self._note_incarnation(known)
             is_evacuated = known.row.data_centre in self._evacuated
             if known.row.state is TargetState.READY and not is_evacuated:
--- a/sesameford/gateway/gateway_node.py
+++ b/sesameford/gateway/gateway_node.py
@@ -285,8 +285,8 @@
         others would else go on sending requests to where nobody listens.
         """
         token = randbits(TOKEN_BITS) if row.state is not TargetState.READY else 0
-        before = self.table.known.get(row.target_id)
-        outgoing = self.table.beat(row, self._now(), token)
+        before = self.table.entries.get(row.target_id)
+        outgoing = self.table.handle_heartbeat(row, self._now(), token)
         if outgoing:
             self._log_target(row, before)
         await self._tell_targets(outgoing, token)
@@ -294,7 +294,7 @@
     async def target_left(self, target_id: str) -> None:
         """Take a target's word that it ends; acknowledged like a heartbeat."""
         token = randbits(TOKEN_BITS)
-        outgoing = self.table.left(target_id, self._now(), token)
+        outgoing = self.table.handle_leave(target_id, self._now(), token)
         if outgoing:
             logger.info("target left", extra={"target": target_id})
         await self._tell_targets(outgoing, token)
@@ -315,7 +315,7 @@
 
     def _data_centres(self) -> frozenset[str]:
         """Return the data centres of the settings, of instances and of targets."""
-        of_targets = {known.row.data_centre for known in self.table.known.values()}
+        of_targets = {known.row.data_centre for known in self.table.entries.values()}
         return self._roster.data_centres() | of_targets | set(self._settings.regions)
 
     def _new_machines(self) -> tuple[StateMachine, ...]:
@@ -362,7 +362,7 @@
         self._greet()
         self._links.send(Outgoing(None, self._heartbeat(now_seconds)))
         if self._own.has_disk:
-            self._links.send(Outgoing(None, self.table.heard()))
+            self._links.send(Outgoing(None, self.table.make_recent_heartbeats()))
         self.table.forget(now_seconds)
         self.placement.forget()
         for peer_id in self._roster.forgotten(now_seconds):
@@ -420,7 +420,9 @@
                 self._roster.heard(sender_id, now_seconds)
                 self._members.heard(sender_id, incarnation, message, now_seconds)
             case HeartbeatRows() | RecentHeartbeats() | HeartbeatRowsRequest():
-                self._send_all(self.table.received(sender_id, message, now_seconds))
+                self._send_all(
+                    self.table.handle_message(sender_id, message, now_seconds)
+                )
             case HeartbeatRowsAck():
                 if message.token in self._taken:
                     self._taken[message.token].set()
--- a/sesameford/gateway/placement.py
+++ b/sesameford/gateway/placement.py
@@ -395,7 +395,7 @@
 
     def target_ids(self, rows: Iterable[FailingTarget]) -> dict[str, float]:
         """Return which part the known ones of failing targets fail, by their ids."""
-        known = ((self._table.by_name(row.name), row.failed_part) for row in rows)
+        known = ((self._table.find_by_name(row.name), row.failed_part) for row in rows)
         return {one.row.target_id: part for one, part in known if one is not None}
 
     def record_used_parts(
@@ -408,7 +408,7 @@
             engines: The settings of services.
         """
         for row in rows:
-            known = self._table.by_name(row.name)
+            known = self._table.find_by_name(row.name)
             if known is None:
                 # A target that this instance does not know yet, or has forgotten.
                 continue
@@ -420,7 +420,7 @@
         """Take what all other routers have under way, by target."""
         self._mean_waits.clear()
         by_name = {load.name: load for load in loads}
-        for target_id in self._table.known:
+        for target_id in self._table.entries:
             load = by_name.get(short_name(target_id))
             place = self._place(target_id)
             place.others_requests = load.requests if load else 0
@@ -428,7 +428,9 @@
 
     def forget(self) -> None:
         """Drop what is known of targets that the table has forgotten."""
-        for target_id in [one for one in self._places if one not in self._table.known]:
+        for target_id in [
+            one for one in self._places if one not in self._table.entries
+        ]:
             del self._places[target_id]
 
     def _usable(
--- a/standins/virtual_cold.py
+++ b/standins/virtual_cold.py
@@ -119,8 +119,8 @@
     replicas = [make_cold_permits(bound, data_centres) for _ in range(data_centres)]
     row = HeartbeatRow(TARGET, 1, "pool", "t:1", "a", 8, TargetState.READY, 60_000)
     table = make_heartbeat_table()
-    table.beat(row, 0.0)
-    known = table.known[TARGET]
+    table.handle_heartbeat(row, 0.0)
+    known = table.entries[TARGET]
     fleet = [make_cold_targets(table) for _ in range(routers)]
     coming: list[tuple[float, int, float]] = []
 
--- a/standins/virtual_engines.py
+++ b/standins/virtual_engines.py
@@ -265,7 +265,7 @@
         row = HeartbeatRow(
             name, 1, SERVICE, f"{name}:1", "a", figures.slots, TargetState.READY
         )
-        table.beat(row, 0.0)
+        table.handle_heartbeat(row, 0.0)
     return VirtualEngines(
         [make_placement(table, "a", 1e6, Random(seed + n)) for n in range(routers)],
         {f"e{number}": _Engine(figures) for number in range(engines)},
--- a/tests/gateway_fixture.py
+++ b/tests/gateway_fixture.py
@@ -100,7 +100,7 @@
         row = HeartbeatRow(
             server.target_id, 1, "pool", server.address, "a", 8, TargetState.READY
         )
-        table.beat(row, monotonic())
+        table.handle_heartbeat(row, monotonic())
     state = make_gateway_state(tree or effective_tree(parse_tree(TREE, "t"), 1))
     targets = make_session(None, 3.0)
     edge = make_wire_adapter()
--- a/tests/test_beat_table.py
+++ b/tests/test_beat_table.py
@@ -22,19 +22,19 @@
     Taken as news, requests would go to where nobody listens any more.
     """
     table = make_heartbeat_table()
-    table.beat(row("t", 4, TargetState.DRAINING), 0.0)
-    table.beat(row("t", 3), 1.0)
-    assert table.known["t"].row.state is TargetState.DRAINING
-    table.left("t", 2.0)
-    table.beat(row("t", 9), 3.0)
-    assert table.known["t"].row.state is TargetState.GONE
+    table.handle_heartbeat(row("t", 4, TargetState.DRAINING), 0.0)
+    table.handle_heartbeat(row("t", 3), 1.0)
+    assert table.entries["t"].row.state is TargetState.DRAINING
+    table.handle_leave("t", 2.0)
+    table.handle_heartbeat(row("t", 9), 3.0)
+    assert table.entries["t"].row.state is TargetState.GONE
 
 
 def test_a_leave_before_any_heartbeat_is_remembered():
     table = make_heartbeat_table()
-    table.left("t", 0.0)
-    table.beat(row("t", 1), 1.0)
-    assert table.known["t"].row.state is TargetState.GONE
+    table.handle_leave("t", 0.0)
+    table.handle_heartbeat(row("t", 1), 1.0)
+    assert table.entries["t"].row.state is TargetState.GONE
 
 
 def test_a_target_that_starts_again_under_its_id_counts_anew():
@@ -43,19 +43,19 @@
     Judged by the numbers of before it would get nothing for good.
     """
     table = make_heartbeat_table()
-    table.beat(replace(row("t", 40), incarnation=1_000), 0.0)
-    table.left("t", 1.0)
-    assert table.beat(replace(row("t", 1), incarnation=2_000), 2.0)
-    assert table.known["t"].row.state is TargetState.READY
+    table.handle_heartbeat(replace(row("t", 40), incarnation=1_000), 0.0)
+    table.handle_leave("t", 1.0)
+    assert table.handle_heartbeat(replace(row("t", 1), incarnation=2_000), 2.0)
+    assert table.entries["t"].row.state is TargetState.READY
     late = replace(row("t", 41, TargetState.DRAINING), incarnation=1_000)
-    assert not table.beat(late, 3.0)
-    assert table.known["t"].row.state is TargetState.READY
+    assert not table.handle_heartbeat(late, 3.0)
+    assert table.entries["t"].row.state is TargetState.READY
 
 
 def test_the_same_again_is_told_to_nobody():
     table = make_heartbeat_table()
-    assert table.beat(row("t", 1), 0.0)
-    assert not table.beat(row("t", 2), 1.0)
+    assert table.handle_heartbeat(row("t", 1), 0.0)
+    assert not table.handle_heartbeat(row("t", 2), 1.0)
 
 
 class BeatTables(RuleBasedStateMachine):
@@ -86,7 +86,7 @@
 
     def _deliver(self, position):
         sender, receiver, message = self.links[position]
-        answer = self.tables[receiver].received(sender, message, self.now_seconds)
+        answer = self.tables[receiver].handle_message(sender, message, self.now_seconds)
         self._send(receiver, answer)
 
     @rule(name=st.sampled_from("tuv"), at=st.sampled_from(["c1", "c2"]))
@@ -95,7 +95,7 @@
         if state is not TargetState.GONE:
             self.said[name] = (sequence + 1, state)
             beat = row(name, sequence + 1, state)
-            self._send(at, self.tables[at].beat(beat, self.now_seconds))
+            self._send(at, self.tables[at].handle_heartbeat(beat, self.now_seconds))
 
     @rule(
         name=st.sampled_from("tuv"),
@@ -113,14 +113,16 @@
             return
         sequence += 1
         beat = row(name, sequence, state)
-        outgoing = self.tables[at].beat(beat, self.now_seconds, token=7)
+        outgoing = self.tables[at].handle_heartbeat(beat, self.now_seconds, token=7)
         self._send(at, outgoing)
         self.said[name] = (sequence, state)
         other = "c2" if at == "c1" else "c1"
         taken = ()
         if reaches:
             for one in outgoing:
-                taken = self.tables[other].received(at, one.message, self.now_seconds)
+                taken = self.tables[other].handle_message(
+                    at, one.message, self.now_seconds
+                )
         if not taken:
             self.unanswered.add(name)
 
@@ -141,7 +143,9 @@
     @rule(name=st.sampled_from("tuv"), at=st.sampled_from(["c1", "c2"]))
     def late_beat(self, name, at):
         if name in self.said and self.said[name][0] > 0:
-            self._send(at, self.tables[at].beat(row(name, 1), self.now_seconds))
+            self._send(
+                at, self.tables[at].handle_heartbeat(row(name, 1), self.now_seconds)
+            )
 
     @rule(seed=st.integers(0, 99))
     def settle(self, seed):
@@ -153,10 +157,12 @@
                 if state is not TargetState.GONE:
                     self.said[name] = (sequence + 1, state)
                     beat = row(name, sequence + 1, state)
-                    self._send("c1", self.tables["c1"].beat(beat, self.now_seconds))
+                    self._send(
+                        "c1", self.tables["c1"].handle_heartbeat(beat, self.now_seconds)
+                    )
             for name, table in self.tables.items():
                 if name != "r1":
-                    heard = table.heard()
+                    heard = table.make_recent_heartbeats()
                     for receiver in self.tables:
                         if receiver != name:
                             self.links.append((name, receiver, heard))
@@ -168,7 +174,7 @@
             for name, (_, state) in self.said.items():
                 if name in self.unanswered:
                     continue
-                known = table.known.get(name)
+                known = table.entries.get(name)
                 if state is TargetState.GONE:
                     assert known is None or known.row.state is TargetState.GONE
                 else:
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -45,7 +45,7 @@
     """Return the placement of one router over targets, and its table."""
     table = make_heartbeat_table()
     for one in rows:
-        table.beat(one, 0.0)
+        table.handle_heartbeat(one, 0.0)
     placement = make_placement(table, "a", 1000.0, Random(seed))
     placement.configure(tree(evacuated), 0.0)
     return placement, table
@@ -127,7 +127,7 @@
 
 def test_a_target_that_grows_cold_again_is_cold_at_once():
     placement, table = make_router(row("e0"), row("e1"))
-    table.beat(row("e1", 2, 2_000), 5.0)
+    table.handle_heartbeat(row("e1", 2, 2_000), 5.0)
     assert {choose(placement, 5.0 + step / 10).target_id for step in range(19)} == {
         "e0"
     }
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -64,7 +64,7 @@
             name = f"{place}{number}"
             ready = TargetState.READY
             row = HeartbeatRow(name, 1, "pool", f"{name}:1", place, 32, ready)
-            table.beat(row, 0.0)
+            table.handle_heartbeat(row, 0.0)
     return make_placement(table, "a", 1000.0, Random(seed))
 
 
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -40,7 +40,9 @@
         for number in range(2):
             name = f"{place}{number}"
             ready = TargetState.READY
-            table.beat(HeartbeatRow(name, 1, "pool", f"{name}:1", place, 4, ready), 0.0)
+            table.handle_heartbeat(
+                HeartbeatRow(name, 1, "pool", f"{name}:1", place, 4, ready), 0.0
+            )
     return make_placement(table, "a", 1000.0, Random(1), REGIONS)
 
 
--- a/tests/test_load_system.py
+++ b/tests/test_load_system.py
@@ -37,7 +37,7 @@
         self.state = make_gateway_state(effective_tree(parse_tree(TREE, "t"), 1))
         table = make_heartbeat_table()
         row = HeartbeatRow("e0", 1, "pool", "e0:1", "a", 4, TargetState.READY)
-        table.beat(row, 0.0)
+        table.handle_heartbeat(row, 0.0)
         self.placement = make_placement(table, "a", 1e6, Random(1))
         self.load = make_load_system(
             False,
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -26,7 +26,7 @@
     """Return a placement over engines e0, e1 and so on, and their table."""
     table = make_heartbeat_table()
     for number in range(count):
-        table.beat(engine(f"e{number}", 1, service, slots), 0.0)
+        table.handle_heartbeat(engine(f"e{number}", 1, service, slots), 0.0)
     return make_placement(table, "a", BEAT_SECONDS, Random(1)), table
 
 
@@ -288,13 +288,13 @@
     first = choose(placement, prompt(7), now=0.0)
     placement.first_event(first, 0.2)
     assert choose(placement, prompt(7), now=5.0).tokens == 1_000
-    table.beat(replace(engine("e0", 1), incarnation=9), 6.0)
+    table.handle_heartbeat(replace(engine("e0", 1), incarnation=9), 6.0)
     assert choose(placement, prompt(7), now=7.0).tokens == 6_000
 
 
 def test_a_target_that_drains_gets_nothing():
     placement, table = make(2)
-    table.beat(engine("e0", 2, state=TargetState.DRAINING), 1.0)
+    table.handle_heartbeat(engine("e0", 2, state=TargetState.DRAINING), 1.0)
     chosen = {choose(placement, prompt(n), now=1.0).target_id for n in range(30)}
     assert chosen == {"e1"}
 
@@ -305,7 +305,7 @@
     Its targets may all be well; dropped, its callers would be refused.
     """
     placement, table = make(2)
-    table.beat(engine("e1", 2), 60.0)
+    table.handle_heartbeat(engine("e1", 2), 60.0)
     assert choose(placement, prompt(1), now=60.0).target_id == "e1"
     assert choose(placement, prompt(1), now=600.0) is not None
 
--- a/tests/test_plain_load.py
+++ b/tests/test_plain_load.py
@@ -50,7 +50,7 @@
         table = make_heartbeat_table()
         for name in targets:
             ready = TargetState.READY
-            table.beat(
+            table.handle_heartbeat(
                 HeartbeatRow(name, 1, "desk", f"{name}:1", "a", SLOTS, ready), 0.0
             )
         placement = make_placement(table, "a", 1000.0, Random(number))
