--- a/sesameford/discovery/roster.py
+++ b/sesameford/discovery/roster.py
@@ -44,7 +44,7 @@
         self._known: dict[str, KnownInstance] = {}
         self.seeds = tuple(seeds)
 
-    def greeted(
+    def handle_hello(
         self, sender_id: str, greeting: Hello, now_seconds: float
     ) -> Sequence[Peer]:
         """Take a greeting.
@@ -67,7 +67,7 @@
             found.append(Peer(row.instance_id, row.data_centre, row.address, True))
         return found
 
-    def greeting(self, now_seconds: float) -> Hello:
+    def make_hello(self, now_seconds: float) -> Hello:
         """Return what this instance tells of itself and of those with disks."""
         replicas = [
             ReplicaRow(one.peer.instance_id, one.peer.data_centre, one.peer.peers)
@@ -123,11 +123,11 @@
             sorted(one.instance_id for one in everybody if one.peers in self.seeds)
         )
 
-    def knows_address(self, address: str) -> bool:
+    def has_address(self, address: str) -> bool:
         """Return whether an instance with this address of links has greeted."""
         return any(one.peer.peers == address for one in self._known.values())
 
-    def forgotten(self, now_seconds: float) -> Sequence[str]:
+    def remove_silent(self, now_seconds: float) -> Sequence[str]:
         """Take out and return the instances that have been silent for long."""
         old = [
             instance_id
@@ -174,7 +174,7 @@
             for one in self._known.values()
         )
 
-    def heard(self, sender_id: str, now_seconds: float) -> None:
+    def record_heartbeat(self, sender_id: str, now_seconds: float) -> None:
         """Note a sign of life."""
         known = self._known.get(sender_id)
         if known is not None:
--- a/sesameford/gateway/gateway_node.py
+++ b/sesameford/gateway/gateway_node.py
@@ -252,7 +252,7 @@
         """
         for address in settings.seeds:
             is_known = address in (*self._roster.seeds, self._own.peers)
-            if not is_known and not self._roster.knows_address(address):
+            if not is_known and not self._roster.has_address(address):
                 self._links.add(Peer(seed_peer_id(address), "", address, True))
         logger.info("settings reloaded", extra={"seeds": settings.seeds})
         self._greet()
@@ -365,7 +365,7 @@
             self._links.send(Outgoing(None, self.table.make_recent_heartbeats()))
         self.table.forget(now_seconds)
         self.placement.forget()
-        for peer_id in self._roster.forgotten(now_seconds):
+        for peer_id in self._roster.remove_silent(now_seconds):
             self._links.remove(peer_id)
             self._greeted_incarnations.pop(peer_id, None)
         self._links.flush()
@@ -386,7 +386,7 @@
             self.tally.level("share_limited_customers", len(shares.fractions))
 
     def _greet(self) -> None:
-        self._links.send(Outgoing(None, self._roster.greeting(self._now())))
+        self._links.send(Outgoing(None, self._roster.make_hello(self._now())))
 
     def _tick_load(self) -> None:
         self.load.tick(self._now())
@@ -411,13 +411,13 @@
         now_seconds = self._now()
         match message:
             case Hello():
-                for peer in self._roster.greeted(sender_id, message, now_seconds):
+                for peer in self._roster.handle_hello(sender_id, message, now_seconds):
                     self._link(peer)
                 self._answer_start(sender_id, incarnation)
             case StaleIncarnation():
                 self._raise_incarnation(message.highest_incarnation)
             case Heartbeat():
-                self._roster.heard(sender_id, now_seconds)
+                self._roster.record_heartbeat(sender_id, now_seconds)
                 self._members.heard(sender_id, incarnation, message, now_seconds)
             case HeartbeatRows() | RecentHeartbeats() | HeartbeatRowsRequest():
                 self._send_all(
@@ -457,7 +457,7 @@
     def _introduce(self, peer_id: str) -> None:
         """Greet one peer, and tell it the state here, at once."""
         now_seconds = self._now()
-        greeting = self._roster.greeting(now_seconds)
+        greeting = self._roster.make_hello(now_seconds)
         self._links.send(Outgoing(peer_id, greeting, urgent=True))
         self._links.send(Outgoing(peer_id, self._heartbeat(now_seconds)))
 
--- a/tests/seed_world.py
+++ b/tests/seed_world.py
@@ -66,13 +66,13 @@
         return {core.cluster_id for core in cores if core.cluster_id}
 
     def _greet(self, name: str) -> None:
-        greeting = self.rosters[name].greeting(self.clock(name))
+        greeting = self.rosters[name].make_hello(self.clock(name))
         for receiver in sorted(self.links[name]):
             is_lost = self.chance.random() < self.greeting_loss
             if receiver in self.living() and not is_lost:
                 if (name, receiver) in self.blocked:
                     continue
-                found = self.rosters[receiver].greeted(
+                found = self.rosters[receiver].handle_hello(
                     name, greeting, self.clock(receiver)
                 )
                 self.links[receiver].update(one.instance_id for one in found)
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -152,9 +152,9 @@
     roster = make_roster(own, SEEDS, False)
     rows = (ReplicaRow("r7", "a", "r7:1"), ReplicaRow("r9", "a", "r9:1"))
     greeting = Hello("r0:1", "a", True, False, rows)
-    found = {one.instance_id for one in roster.greeted("r0", greeting, 0.0)}
+    found = {one.instance_id for one in roster.handle_hello("r0", greeting, 0.0)}
     assert found == {"r0", "r7"}
-    assert roster.forgotten(FORGOTTEN_SECONDS + 1) == ["r0"]
+    assert roster.remove_silent(FORGOTTEN_SECONDS + 1) == ["r0"]
 
 
 class Founding(RuleBasedStateMachine):
@@ -258,7 +258,7 @@
     roster = make_roster(own, (), False)
     greetings = {"r1": False, "r2": False, "replica-2": True}
     for name, has_disk in greetings.items():
-        roster.greeted(name, Hello("127.0.0.1:2", "a", has_disk, False, ()), 1.0)
+        roster.handle_hello(name, Hello("127.0.0.1:2", "a", has_disk, False, ()), 1.0)
     assert roster.live_routers(2.0, 1.5) == 2
-    roster.heard("r1", 3.0)
+    roster.record_heartbeat("r1", 3.0)
     assert roster.live_routers(3.5, 1.5) == 1
