--- a/sesameford/gateway/gateway_node.py
+++ b/sesameford/gateway/gateway_node.py
@@ -110,7 +110,7 @@
             settings.listen.peers,
             settings.data_folder is not None,
         )
-        self.tally = make_gateway_metrics()
+        self.metrics = make_gateway_metrics()
         self.table = make_heartbeat_table(self._own.has_disk)
         founds = settings.founds
         if settings.data_folder is not None:
@@ -221,7 +221,7 @@
             self.load.gate,
             make_second_sends(self._settings.retry_budget),
             self.load.lag,
-            self.tally,
+            self.metrics,
             Random(self.incarnation),
             lambda: self._state if self._tree.is_ready() else None,
             lambda: self.load.report.routers,
@@ -277,7 +277,7 @@
 
     # --- what control asks ----------------------------------------------------
 
-    async def target_beat(self, row: HeartbeatRow) -> None:
+    async def handle_target_heartbeat(self, row: HeartbeatRow) -> None:
         """Take a target's heartbeat and tell all others what changed.
 
         A target that leaves is acknowledged only once another replica knows it too,
@@ -291,7 +291,7 @@
             self._log_target(row, before)
         await self._tell_targets(outgoing, token)
 
-    async def target_left(self, target_id: str) -> None:
+    async def handle_target_leave(self, target_id: str) -> None:
         """Take a target's word that it ends; acknowledged like a heartbeat."""
         token = randbits(TOKEN_BITS)
         outgoing = self.table.handle_leave(target_id, self._now(), token)
@@ -330,7 +330,7 @@
         self.placement.configure(tree, self._now())
         for act in self._at_configured:
             act(tree)
-        self.tally.level("tree_revision", tree.revision)
+        self.metrics.level("tree_revision", tree.revision)
 
     def _instance_state(self) -> InstanceState:
         if not self._stop.is_ready:
@@ -349,7 +349,7 @@
         for peer_id in self._links.redial_silent_peers(now_seconds):
             self._introduce(peer_id)
         self._tree.tick()
-        load = StopLoad(self.tally.open_calls, 0, 0)
+        load = StopLoad(self.metrics.open_calls, 0, 0)
         delay_seconds = 0.0 if self._own.has_disk else UNREADY_SECONDS
         was_serving = self._stop.accepts_requests
         self._stop.advance(load, delay_seconds, now_seconds)
@@ -372,18 +372,18 @@
         self._note_replicas(now_seconds)
         self.load.log_shares(now_seconds)
         self._count_shares()
-        self.tally.settle()
+        self.metrics.settle()
 
     def _count_shares(self) -> None:
         for admission, tokens in self.load.gate.account.totals.items():
-            self.tally.admitted(admission.value, tokens)
-        self.tally.level("cold_sent", self.placement.candidates.cold.requests_sent)
+            self.metrics.admitted(admission.value, tokens)
+        self.metrics.level("cold_sent", self.placement.candidates.cold.requests_sent)
         if self._own.has_disk:
             shares = self.load.shares
-            self.tally.level("cold_permits", self.load.permits_given)
-            self.tally.level("share_capacity_tokens", shares.capacity_tokens)
-            self.tally.level("share_routers", shares.routers)
-            self.tally.level("share_limited_customers", len(shares.fractions))
+            self.metrics.level("cold_permits", self.load.permits_given)
+            self.metrics.level("share_capacity_tokens", shares.capacity_tokens)
+            self.metrics.level("share_routers", shares.routers)
+            self.metrics.level("share_limited_customers", len(shares.fractions))
 
     def _greet(self) -> None:
         self._links.send(Outgoing(None, self._roster.make_hello(self._now())))
--- a/sesameford/gateway/operator_calls.py
+++ b/sesameford/gateway/operator_calls.py
@@ -76,7 +76,7 @@
         )
         return answer.version
 
-    async def declared_text(self) -> bytes:
+    async def read_declared_text(self) -> bytes:
         """Return the newest accepted declaration's document.
 
         The version is agreed anew, since a replica that was cut off does not know
