--- a/sesameford/gateway/gateway_metrics.py
+++ b/sesameford/gateway/gateway_metrics.py
@@ -52,33 +52,33 @@
             "sesameford_level", "Present levels, by name", registry=self.registry
         )
 
-    def opened(self) -> None:
+    def record_call_start(self) -> None:
         """Count a call that begins."""
         self.open_calls += 1
 
-    def closed(self) -> None:
+    def record_call_end(self) -> None:
         """Count a call that has its final answer."""
         self.open_calls -= 1
 
-    def refused(self, reason: str) -> None:
+    def record_refusal(self, reason: str) -> None:
         """Count an answer of the system's own.
 
         The library takes 40 microseconds for a count, a fifth of what a refusal
-        costs, so counts are handed to it by ``settle``, which runs seldom.
+        costs, so counts are handed to it by ``flush``, which runs seldom.
         """
         self._refused[reason] += 1
 
-    def settle(self) -> None:
+    def flush(self) -> None:
         """Hand what was counted since, and the calls under way, to the registry."""
-        self.level("open_calls", self.open_calls)
+        self.set_level("open_calls", self.open_calls)
         for reason, count in self._refused.items():
             self._refusals.set({"reason": reason}, count)
 
-    def admitted(self, admission: str, tokens: int) -> None:
+    def set_admitted_tokens(self, admission: str, tokens: int) -> None:
         """Set the tokens that were asked in all, by what became of them."""
         self._admitted.set({"admission": admission}, tokens)
 
-    def ended(
+    def record_relayed_call(
         self,
         outcome: str,
         route_id: str,
@@ -93,11 +93,11 @@
         if first_event_seconds is not None:
             self._first_event.observe({"route": route_id}, first_event_seconds)
 
-    def paused(self, route_id: str, longest_pause_seconds: float) -> None:
+    def record_pause(self, route_id: str, longest_pause_seconds: float) -> None:
         """Count the longest pause of a stream."""
         self._pause.observe({"route": route_id}, longest_pause_seconds)
 
-    def level(self, name: str, value: float) -> None:
+    def set_level(self, name: str, value: float) -> None:
         """Set a present level."""
         self._gauges.set({"name": name}, value)
 
--- a/sesameford/gateway/gateway_node.py
+++ b/sesameford/gateway/gateway_node.py
@@ -330,7 +330,7 @@
         self.placement.configure(tree, self._now())
         for act in self._at_configured:
             act(tree)
-        self.metrics.level("tree_revision", tree.revision)
+        self.metrics.set_level("tree_revision", tree.revision)
 
     def _instance_state(self) -> InstanceState:
         if not self._stop.is_ready:
@@ -372,18 +372,20 @@
         self._note_replicas(now_seconds)
         self.load.log_shares(now_seconds)
         self._count_shares()
-        self.metrics.settle()
+        self.metrics.flush()
 
     def _count_shares(self) -> None:
         for admission, tokens in self.load.gate.account.totals.items():
-            self.metrics.admitted(admission.value, tokens)
-        self.metrics.level("cold_sent", self.placement.candidates.cold.requests_sent)
+            self.metrics.set_admitted_tokens(admission.value, tokens)
+        self.metrics.set_level(
+            "cold_sent", self.placement.candidates.cold.requests_sent
+        )
         if self._own.has_disk:
             shares = self.load.shares
-            self.metrics.level("cold_permits", self.load.permits_given)
-            self.metrics.level("share_capacity_tokens", shares.capacity_tokens)
-            self.metrics.level("share_routers", shares.routers)
-            self.metrics.level("share_limited_customers", len(shares.fractions))
+            self.metrics.set_level("cold_permits", self.load.permits_given)
+            self.metrics.set_level("share_capacity_tokens", shares.capacity_tokens)
+            self.metrics.set_level("share_routers", shares.routers)
+            self.metrics.set_level("share_limited_customers", len(shares.fractions))
 
     def _greet(self) -> None:
         self._links.send(Outgoing(None, self._roster.make_hello(self._now())))
--- a/sesameford/gateway/own_answer.py
+++ b/sesameford/gateway/own_answer.py
@@ -54,7 +54,7 @@
     arrived_at_seconds: float,
 ) -> OwnAnswer:
     """Count and log a refusal, and return its answer."""
-    deps.tally.refused(refusal.reason)
+    deps.tally.record_refusal(refusal.reason)
     log_refusal(deps, call, run, refusal, arrived_at_seconds)
     headers = dict(deps.edge.own_headers(call))
     if refusal.retry_after_seconds is not None:
