--- a/sesameford/gateway/queue_limit.py
+++ b/sesameford/gateway/queue_limit.py
@@ -1,28 +1,28 @@
-"""Which part of a plain service's requests is rejected so that its queues stay short.
+"""The part of a plain service's requests that is rejected to keep its queues short.
 
-The rejected part follows the delay as proportional integral controllers of queues do:
-it rises while answers take longer than they should and while they take longer and
-longer. It finds the part that is too much, whatever the load, where a part that depends
-on the delay alone swings between none and all at routers that hear of each other late.
+A proportional-integral controller sets the part: it rises while answers take longer
+than they should and while their delay grows. It finds the excess at any load, where a
+part computed from the delay alone swings between none and all, since routers learn of
+each other's load late.
 """
 
 from dataclasses import dataclass
 
-# The part is worked out once in so long, about as often as routers hear of each other.
+# The period of updates, about that of the routers' load reports.
 UPDATE_SECONDS = 0.05
-# What an answer should take at most on average, as a part of its objective, but not
-# less than so many times its work: a service that is idle rejects nobody, however long
-# its work takes.
+# The delay that the controller aims at, as a part of the objective, but at least so
+# many times the work of an answer: an idle service rejects nothing, however long its
+# work takes.
 DELAY_PART = 0.6
-LEAST_WORKS = 1.5
-# How much the part rises in one update for each objective that answers take too long,
-# and for each objective that they take longer than at the update before.
+MIN_DELAY_WORKS = 1.5
+# By how much the part rises in one update for each objective of excess delay, and for
+# each objective by which the delay grew since the update before.
 INTEGRAL_GAIN = 0.15
 PROPORTIONAL_GAIN = 0.3
-# What is left of the part in one update while nothing waits.
-IDLE_KEPT_PART = 0.9
-# Some must be let in for anybody to see that the queue has gone.
-MOST_PART = 0.98
+# The factor of the part in each update while nothing waits.
+IDLE_DECAY_FACTOR = 0.9
+# Some requests must be admitted to notice that the queue has gone.
+MAX_REJECTED_PART = 0.98
 
 
 @dataclass(slots=True)
@@ -30,8 +30,8 @@
     """The rejected part of one service's requests at one router."""
 
     rejected_part: float = 0.0
-    _before_objectives: float = 0.0
-    _next_seconds: float = 0.0
+    _previous_objectives: float = 0.0
+    _next_update_seconds: float = 0.0
 
     def update(
         self,
@@ -40,30 +40,30 @@
         objective_seconds: float,
         now_seconds: float,
     ) -> float:
-        """Bring the rejected part up to date where that is due, and return it.
+        """Update the rejected part if that is due, and return it.
 
         Args:
             takes_seconds: How long an answer takes at present.
-            work_seconds: How long it takes where nothing waits for its turn.
+            work_seconds: How long it takes without queueing.
             objective_seconds: How long it may take.
             now_seconds: The present time.
         """
-        if now_seconds < self._next_seconds:
+        if now_seconds < self._next_update_seconds:
             return self.rejected_part
-        self._next_seconds = now_seconds + UPDATE_SECONDS
+        self._next_update_seconds = now_seconds + UPDATE_SECONDS
         objectives = takes_seconds / objective_seconds
-        wanted = max(DELAY_PART, LEAST_WORKS * work_seconds / objective_seconds)
-        change = INTEGRAL_GAIN * (objectives - wanted)
-        change += PROPORTIONAL_GAIN * (objectives - self._before_objectives)
-        self._before_objectives = objectives
+        setpoint = max(DELAY_PART, MIN_DELAY_WORKS * work_seconds / objective_seconds)
+        change = INTEGRAL_GAIN * (objectives - setpoint)
+        change += PROPORTIONAL_GAIN * (objectives - self._previous_objectives)
+        self._previous_objectives = objectives
         if takes_seconds <= work_seconds:
-            self.rejected_part *= IDLE_KEPT_PART
+            self.rejected_part *= IDLE_DECAY_FACTOR
         else:
             part = self.rejected_part + change
-            self.rejected_part = min(max(part, 0.0), MOST_PART)
+            self.rejected_part = min(max(part, 0.0), MAX_REJECTED_PART)
         return self.rejected_part
 
 
 def make_queue_limit() -> QueueLimit:
-    """Return the limit of a service at which nothing waits yet."""
+    """Return the limit of a service without a queue."""
     return QueueLimit()
--- a/sesameford/gateway/service_balance.py
+++ b/sesameford/gateway/service_balance.py
@@ -1,92 +1,93 @@
-"""Who has lately been served more than its share, and who less.
+"""Balances the recent service of customers against their shares.
 
-Shares are worked out from demands that are averages and some tenths of a second old.
-A customer whose demand rises tenfold is served by its old share until the new one is
+Shares are computed from demands that are averages and some tenths of a second old. A
+customer whose demand rises tenfold is served by its old share until the new one is
 known, and gets seconds' worth of service beyond it, while its rivals wait behind that.
-Nothing else would ever make up for it: each later share is even by itself. One notices
-it in ``shares served`` lines, where one customer has begun twice as much as others that
-have the same level. So what engines have really begun for a customer is held against
-what it was owed, and whoever is ahead gets less until all are even again.
+No later share would make up for it, since each is even by itself. It shows in
+``shares served`` lines: engines have started twice as much for one customer as for
+others of the same level. So the tokens that engines started for a customer are
+compared with what was due to it, and a customer that is ahead gets less until all are
+even again.
 """
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-# Service and what is owed are averaged over so long. Shares that follow within some
-# tenths of a second can be steered by it without swinging.
+# Averaging time of service and due tokens. Shares that follow within some tenths of a
+# second can be steered by it without oscillation.
 BALANCE_SECONDS = 2.0
-# A customer that is ahead by a tenth of what it is owed gets so many tenths less.
+# A customer that is ahead by a tenth of its due tokens gets so many tenths less.
 GAIN = 1.5
-# Nobody is left with less than this part of an even share, however far ahead.
-LEAST_WEIGHT = 0.4
-# One that is behind may ask for less than it seems, or its targets may fail: more than
-# this would only make others wait.
-MOST_WEIGHT = 1.3
-# A customer that is owed and served less has asked nothing for seconds.
-LEAST_OWED_TOKENS = 1.0
+# The least part of an even share, however far ahead a customer is.
+MIN_WEIGHT = 0.4
+# A customer that is behind may request less than it seems, or its targets may fail: a
+# higher weight would only make others wait.
+MAX_WEIGHT = 1.3
+# A customer with less due and served has requested nothing for seconds.
+MIN_BALANCED_TOKENS = 1.0
 
 
 @dataclass(slots=True)
 class _Average:
-    """What a customer was owed and served of late, in tokens a second."""
+    """Tokens a second that were due to a customer and served to it, averaged."""
 
-    owed_tokens: float = 0.0
+    due_tokens: float = 0.0
     served_tokens: float = 0.0
 
 
 @dataclass(slots=True)
 class ServiceBalance:
-    """The averages of all customers at the replica that works out shares."""
+    """The averages of all customers at the replica that computes shares."""
 
     _averages: dict[str, _Average] = field(default_factory=dict)
-    _settled_at_seconds: float | None = None
+    _updated_at_seconds: float | None = None
 
-    def settle(
+    def update(
         self,
-        owed_tokens: Mapping[str, float],
+        due_tokens: Mapping[str, float],
         served_tokens: Mapping[str, float],
         now_seconds: float,
     ) -> None:
-        """Take what customers are owed and served since the last call.
+        """Update the averages with the rates since the last call.
 
         Args:
-            owed_tokens: Of an even share, a second, at most what each asks.
-            served_tokens: What engines have begun, a second.
+            due_tokens: The even share of each customer, a second, at most its demand.
+            served_tokens: What engines have started, a second.
             now_seconds: The present time.
         """
-        last_seconds, self._settled_at_seconds = self._settled_at_seconds, now_seconds
+        last_seconds, self._updated_at_seconds = self._updated_at_seconds, now_seconds
         if last_seconds is None:
-            # After a start what is served follows from shares that another worked out.
+            # After a start, service still follows the shares of another replica.
             return
         part = min((now_seconds - last_seconds) / BALANCE_SECONDS, 1.0)
-        for customer in owed_tokens:
+        for customer in due_tokens:
             self._averages.setdefault(customer, _Average())
         for customer, average in list(self._averages.items()):
-            owed = owed_tokens.get(customer, 0.0)
+            due = due_tokens.get(customer, 0.0)
             served = served_tokens.get(customer, 0.0)
-            average.owed_tokens += part * (owed - average.owed_tokens)
+            average.due_tokens += part * (due - average.due_tokens)
             average.served_tokens += part * (served - average.served_tokens)
-            if average.owed_tokens + average.served_tokens < LEAST_OWED_TOKENS:
+            if average.due_tokens + average.served_tokens < MIN_BALANCED_TOKENS:
                 del self._averages[customer]
 
     def weights(self, customers: Mapping[str, float]) -> dict[str, float]:
         """Return by how much the even share of each customer is to be multiplied.
 
-        What all of them are behind together is no reason to prefer anybody: engines
-        may do less than was taken for their capacity.
+        Customers are compared with each other: a deficit that they all have is no
+        reason to prefer one, since engines may do less than the assumed capacity.
         """
         averages = {
             customer: self._averages[customer]
             for customer in customers
             if customer in self._averages
         }
-        owed_tokens = sum(one.owed_tokens for one in averages.values())
+        due_tokens = sum(one.due_tokens for one in averages.values())
         served_tokens = sum(one.served_tokens for one in averages.values())
-        if not owed_tokens or not served_tokens:
+        if not due_tokens or not served_tokens:
             return {}
-        usual_part = served_tokens / owed_tokens
+        usual_part = served_tokens / due_tokens
         return {
-            customer: _weight(one.served_tokens, usual_part * one.owed_tokens)
+            customer: _weight(one.served_tokens, usual_part * one.due_tokens)
             for customer, one in averages.items()
         }
 
@@ -95,9 +96,9 @@
     if due_tokens <= 0.0:
         return 1.0
     behind = (due_tokens - served_tokens) / due_tokens
-    return min(max(1.0 + GAIN * behind, LEAST_WEIGHT), MOST_WEIGHT)
+    return min(max(1.0 + GAIN * behind, MIN_WEIGHT), MAX_WEIGHT)
 
 
 def make_service_balance() -> ServiceBalance:
-    """Return a balance in which nobody was owed or served anything."""
+    """Return a balance without any service yet."""
     return ServiceBalance()
--- a/sesameford/gateway/shares.py
+++ b/sesameford/gateway/shares.py
@@ -1,11 +1,11 @@
-"""Which part of each customer's requests is served when all ask for too much.
-
-Each router reports what every customer asks of the engines there, on average, and how
-long prompts wait. A replica adds that up. While prompts wait too long it lowers what
-is served in all, and shares that out max-min: a customer that asks for less than an
-even share gets all of it, the others the same amount each, more or less by what they
-have had of late. Routers are sent the part of its requests that each of the latter
-gets, and reject the rest at once.
+"""The share of each customer's requests that is served under overload.
+
+Each router reports the average rate that every customer requests of the engines there,
+and how long prompts wait. A replica sums the reports up. While prompts wait too long it
+lowers the total that is served, and divides that max-min fairly: a customer that
+requests less than an even share gets all of it, the others the same amount each, more
+or less by their recent service. Routers are sent the fraction that each of these
+customers gets, and reject its other requests at once.
 """
 
 from collections.abc import Mapping, Sequence
@@ -17,37 +17,37 @@
 from sesameford.gateway.token_rate import AVERAGE_SECONDS
 from sesameford.load_messages import PartialLoad, ShareRow
 
-# The capacity is what engines have handled of late, a second: what they have begun to
-# answer, and what they have failed or whose answers were lost. Were the latter left
-# out, engines that fail half would be sent less and less while they stand idle. It is
-# lowered by this part of itself for each second that prompts wait longer than they may,
+# The capacity is the rate that engines handled recently: requests that they started to
+# answer, and those that they failed or whose answers were lost. Without the latter,
+# engines that fail half of their requests would be sent less and less while they idle.
+# It is lowered by this part of itself for each second by which prompts wait too long,
 # and raised in the same way, so that a backlog is worked off in about half a second.
-PART_A_SECOND = 2.0
-LOWEST_FACTOR = 0.5
-HIGHEST_FACTOR = 1.4
-# Nor is it taken as lower than this part of what is declared: after a start nothing has
-# been begun yet.
-LOWEST_PART = 0.25
-# A part of the engines lower than this is taken as this.
-LEAST_PART = 0.01
-# Before anybody declares a capacity, and while nothing has been asked.
-FIRST_CAPACITY_TOKENS = 100_000.0
-# With four digits a customer that asks for twenty thousand times its share would get a
+CAPACITY_GAIN_PER_SECOND = 2.0
+MIN_CAPACITY_FACTOR = 0.5
+MAX_CAPACITY_FACTOR = 1.4
+# The capacity is at least this part of the declared one: after a start no request has
+# been started yet.
+MIN_DECLARED_PART = 0.25
+# The least average of the available part, against a division by zero.
+MIN_AVAILABLE_PART = 0.01
+# Used until a capacity is declared and requests have come.
+INITIAL_CAPACITY_TOKENS = 100_000.0
+# With four digits a customer that requests twenty thousand times its share would get a
 # fraction of zero, and starve.
 FRACTION_DIGITS = 6
 
 
 @dataclass(slots=True)
 class ShareTable:
-    """What customers ask in sum, and the shares that follow.
+    """The summed demands of customers, and the shares that follow.
 
-    ``requested_tokens`` are tokens a second by customer; ``fractions`` are of those that
-    don't get all. Demands are averages and not totals, so a replica that begins to
-    add up knows as much as the one before it as soon as it has heard all routers, and
-    reports that were held up and come together count once.
+    ``requested_tokens`` are tokens a second by customer; ``fractions`` are of those
+    that don't get all. Demands are averages and not totals, so a replica that takes
+    over has the same state as its predecessor once it has received a report of every
+    router, and reports that were delayed and arrive together count once.
     """
 
-    capacity_tokens: float = FIRST_CAPACITY_TOKENS
+    capacity_tokens: float = INITIAL_CAPACITY_TOKENS
     wait_seconds: float = 0.0
     wait_setpoint_seconds: float = 0.0
     requested_tokens: Mapping[str, int] = field(default_factory=dict)
@@ -61,112 +61,119 @@
         self,
         loads: Sequence[PartialLoad],
         declared_tokens: float | None,
-        wanted_wait_seconds: float,
+        base_wait_seconds: float,
         now_seconds: float,
         available_part: float = 1.0,
     ) -> None:
-        """Bring sums, capacity and fractions up to date.
+        """Update sums, capacity and fractions.
 
         Args:
-            loads: Of all routers that are known, each in one of them.
+            loads: The loads of all known routers, each router in one of them.
             declared_tokens: What all engines produce a second, None if not known.
-            wanted_wait_seconds: How long prompts may wait on average at the least.
+            base_wait_seconds: The least limit of the average wait of prompts.
             now_seconds: The present time.
-            available_part: The part of the engines that take work as usual.
+            available_part: The part of the engines that accept work as usual.
         """
-        left_part = self._left_part(available_part, now_seconds)
-        declared_tokens = (declared_tokens or FIRST_CAPACITY_TOKENS) * available_part
+        remaining_part = self._remaining_part(available_part, now_seconds)
+        declared_tokens = (declared_tokens or INITIAL_CAPACITY_TOKENS) * available_part
         self.routers = sum(load.routers for load in loads)
         rows = customers_added_up(load.customers for load in loads)
         self.requested_tokens = {row.customer: row.requested_tokens for row in rows}
-        begun_tokens = {row.customer: row.started_tokens for row in rows}
-        self.wait_setpoint_seconds = wanted_wait_seconds * wait_factor(
+        started_tokens = {row.customer: row.started_tokens for row in rows}
+        self.wait_setpoint_seconds = base_wait_seconds * wait_factor(
             sum(load.in_time_answers for load in loads),
             sum(load.late_answers for load in loads),
             sum(self.requested_tokens.values()),
             sum(load.handled_tokens for load in loads),
         )
         self.capacity_tokens = self._capacity(
-            loads, declared_tokens, self.wait_setpoint_seconds, left_part
+            loads, declared_tokens, self.wait_setpoint_seconds, remaining_part
         )
         even = fair_amounts(self.requested_tokens, self.capacity_tokens)
-        self._balance.settle(even, begun_tokens, now_seconds)
+        self._balance.update(even, started_tokens, now_seconds)
         limited = {
-            customer: asked
-            for customer, asked in self.requested_tokens.items()
-            if even[customer] < asked
+            customer: requested
+            for customer, requested in self.requested_tokens.items()
+            if even[customer] < requested
         }
         weights = self._balance.weights(limited)
         amounts = fair_amounts(self.requested_tokens, self.capacity_tokens, weights)
         self.fractions = {
-            customer: amounts[customer] / asked
-            for customer, asked in self.requested_tokens.items()
-            if amounts[customer] < asked
+            customer: amounts[customer] / requested
+            for customer, requested in self.requested_tokens.items()
+            if amounts[customer] < requested
         }
 
     def rows(self) -> tuple[ShareRow, ...]:
-        """Return what routers are sent: the customers that don't get all."""
+        """Return the rows for routers: the customers that don't get all."""
         return tuple(
             ShareRow(customer, round(fraction, FRACTION_DIGITS))
             for customer, fraction in self.fractions.items()
         )
 
-    def _left_part(self, available_part: float, now_seconds: float) -> float:
-        """Return the part left of the engines that handled what was handled of late.
+    def _remaining_part(self, available_part: float, now_seconds: float) -> float:
+        """Return the part that remains of the engines behind the handled tokens.
 
-        It is held against its average over the time that reports are averaged over.
+        That is the available part over its average, which spans the same time as the
+        averages in reports.
         """
         since_seconds = now_seconds - self._available_at_seconds
         self._available_at_seconds = now_seconds
         gain = min(max(since_seconds, 0.0) / AVERAGE_SECONDS, 1.0)
         change = available_part - self._mean_available_part
         self._mean_available_part += gain * change
-        self._mean_available_part = max(self._mean_available_part, LEAST_PART)
+        self._mean_available_part = max(self._mean_available_part, MIN_AVAILABLE_PART)
         return min(available_part / self._mean_available_part, 1.0)
 
     def _capacity(
         self,
         loads: Sequence[PartialLoad],
         declared_tokens: float,
-        wanted_wait_seconds: float,
-        left_part: float,
+        wait_setpoint_seconds: float,
+        remaining_part: float,
     ) -> float:
-        """Return what may be asked a second without making prompts wait too long."""
+        """Return the tokens a second that can be served without too long a wait."""
         waits_seconds = sum(load.routers * load.wait_seconds for load in loads)
         self.wait_seconds = waits_seconds / max(self.routers, 1)
-        factor = 1 + PART_A_SECOND * (wanted_wait_seconds - self.wait_seconds)
-        factor = min(max(factor, LOWEST_FACTOR), HIGHEST_FACTOR)
-        capacity = left_part * factor * sum(load.handled_tokens for load in loads)
-        if self.wait_seconds > wanted_wait_seconds:
-            return max(capacity, LOWEST_PART * declared_tokens)
-        # Nobody waits too long: what is declared can be served in any case.
+        factor = 1 + CAPACITY_GAIN_PER_SECOND * (
+            wait_setpoint_seconds - self.wait_seconds
+        )
+        factor = min(max(factor, MIN_CAPACITY_FACTOR), MAX_CAPACITY_FACTOR)
+        capacity = remaining_part * factor * sum(load.handled_tokens for load in loads)
+        if self.wait_seconds > wait_setpoint_seconds:
+            return max(capacity, MIN_DECLARED_PART * declared_tokens)
+        # No prompt waits too long: the declared rate can be served in any case.
         return max(capacity, declared_tokens)
 
 
 def fair_amounts(
-    asked: Mapping[str, float],
+    requested: Mapping[str, float],
     capacity: float,
     weights: Mapping[str, float] | None = None,
 ) -> dict[str, float]:
-    """Return what each customer gets, max-min, so that all get the capacity in sum.
+    """Return the max-min fair amount of each customer, which add up to the capacity.
 
     Args:
-        asked: What each customer asks.
-        capacity: What there is for all.
+        requested: What each customer requests.
+        capacity: What is available in total.
         weights: By how much the even share of some customers is multiplied.
     """
     weights = weights or {}
-    left = capacity
-    left_weight = sum(weights.get(customer, 1.0) for customer in asked)
+    remaining = capacity
+    remaining_weight = sum(weights.get(customer, 1.0) for customer in requested)
     amounts: dict[str, float] = {}
-    for customer in sorted(asked, key=lambda one: asked[one] / weights.get(one, 1.0)):
+    for customer in sorted(
+        requested, key=lambda one: requested[one] / weights.get(one, 1.0)
+    ):
         weight = weights.get(customer, 1.0)
-        amounts[customer] = min(asked[customer], left * weight / left_weight)
-        left -= amounts[customer]
-        left_weight -= weight
+        amounts[customer] = min(
+            requested[customer], remaining * weight / remaining_weight
+        )
+        remaining -= amounts[customer]
+        remaining_weight -= weight
     return amounts
 
 
 def make_share_table() -> ShareTable:
-    """Return a table in which nobody has asked for anything."""
+    """Return a table without demands."""
     return ShareTable()
