--- a/sesameford/gateway/gateway_metrics.py
+++ b/sesameford/gateway/gateway_metrics.py
@@ -1,4 +1,4 @@
-"""What a router counts, on its metrics address."""
+"""Metrics of a router or replica, served on its metrics address."""
 
 from collections import Counter
 
@@ -9,7 +9,7 @@
 
 
 class GatewayMetrics:
-    """The counters of one router or replica; ``open_calls`` are under way now."""
+    """The metrics of one router or replica; ``open_calls`` are in progress."""
 
     def __init__(self) -> None:
         self.registry = Registry()
@@ -30,7 +30,7 @@
             "Tokens that customers asked, by what became of the request at the gate",
             registry=self.registry,
         )
-        self._took = Histogram(
+        self._call_seconds = Histogram(
             "sesameford_call_seconds",
             "Time from arrival to the end of the answer",
             buckets=SECONDS_BUCKETS,
@@ -42,7 +42,7 @@
             buckets=SECONDS_BUCKETS,
             registry=self.registry,
         )
-        self._pause = Histogram(
+        self._longest_pause = Histogram(
             "sesameford_longest_pause_seconds",
             "Longest time between two events of a stream",
             buckets=SECONDS_BUCKETS,
@@ -53,7 +53,7 @@
         )
 
     def record_call_start(self) -> None:
-        """Count a call that begins."""
+        """Count a call that starts."""
         self.open_calls += 1
 
     def record_call_end(self) -> None:
@@ -61,21 +61,21 @@
         self.open_calls -= 1
 
     def record_refusal(self, reason: str) -> None:
-        """Count an answer of the system's own.
+        """Count a refusal, which is an answer of the system's own.
 
-        The library takes 40 microseconds for a count, a fifth of what a refusal
-        costs, so counts are handed to it by ``flush``, which runs seldom.
+        The library takes 40 microseconds for a count, a fifth of the cost of a refusal,
+        so ``flush``, which runs seldom, passes the counts to it.
         """
         self._refused[reason] += 1
 
     def flush(self) -> None:
-        """Hand what was counted since, and the calls under way, to the registry."""
+        """Pass the counted refusals and the open calls to the registry."""
         self.set_level("open_calls", self.open_calls)
         for reason, count in self._refused.items():
             self._refusals.set({"reason": reason}, count)
 
     def set_admitted_tokens(self, admission: str, tokens: int) -> None:
-        """Set the tokens that were asked in all, by what became of them."""
+        """Set the total of requested tokens with this result of admission."""
         self._admitted.set({"admission": admission}, tokens)
 
     def record_relayed_call(
@@ -86,22 +86,22 @@
         took_seconds: float,
         first_event_seconds: float | None,
     ) -> None:
-        """Count a call that was passed on."""
+        """Count a call that was relayed, with its result and times."""
         labels = {"outcome": outcome, "route": route_id, "status": str(status)}
         self._calls.inc(labels)
-        self._took.observe({"route": route_id}, took_seconds)
+        self._call_seconds.observe({"route": route_id}, took_seconds)
         if first_event_seconds is not None:
             self._first_event.observe({"route": route_id}, first_event_seconds)
 
     def record_pause(self, route_id: str, longest_pause_seconds: float) -> None:
-        """Count the longest pause of a stream."""
-        self._pause.observe({"route": route_id}, longest_pause_seconds)
+        """Record the longest pause of a stream."""
+        self._longest_pause.observe({"route": route_id}, longest_pause_seconds)
 
     def set_level(self, name: str, value: float) -> None:
-        """Set a present level."""
+        """Set a gauge."""
         self._gauges.set({"name": name}, value)
 
 
 def make_gateway_metrics() -> GatewayMetrics:
-    """Return counters that all stand at zero."""
+    """Return metrics that are all zero."""
     return GatewayMetrics()
--- a/sesameford/gateway/gateway_node.py
+++ b/sesameford/gateway/gateway_node.py
@@ -1,8 +1,8 @@
-"""One instance that finds the others by seeds: a router, or a replica of the log.
+"""One instance that discovers the others by seeds: a router, or a replica of the log.
 
-A router answers callers under the settings in force. A replica keeps the log of the
-settings tree and takes the targets' heartbeats and the declarer's documents. Either
-keeps links to all replicas, and a replica to all routers.
+A router answers callers under the settings in force. A replica stores the log of the
+settings tree and receives the targets' heartbeats and the declarer's documents. Both
+keep links to all replicas, and a replica also to all routers.
 """
 
 import asyncio
@@ -79,29 +79,29 @@
 logger = logging.getLogger(__name__)
 
 TICK_SECONDS = 0.1
-BEAT_SECONDS = 0.5
+HEARTBEAT_SECONDS = 0.5
 # A link that carries a heartbeat each half second and acknowledges nothing for three
 # of them is dead; a change must be in force everywhere within a few seconds.
 REDIAL_SECONDS = 1.6
-# The balancer asks once a second and leaves an instance out after two misses; what
-# comes later than this might not end before the process is ended.
+# The balancer checks readiness once a second and leaves an instance out after two
+# misses; a request that comes later might not finish before the process is ended.
 UNREADY_SECONDS = 2.6
 CLOSE_LINKS_SECONDS = 0.05
 IDLE_SECONDS = 3.0
-# A target waits a second for an acknowledgement; a replica that is heard answers
-# within some hundredths.
-TAKEN_SECONDS = 0.3
+# A target waits a second for an acknowledgement; a connected replica answers within
+# some hundredths of a second.
+ROWS_ACK_TIMEOUT_SECONDS = 0.3
 TOKEN_BITS = 48
 
 
 class GatewayNode:
-    """Composes the parts of one instance and runs its systems each tick."""
+    """Composes the parts of one instance and runs its periodic tasks."""
 
     def __init__(
-        self, settings: DaemonSettings, source: str, edge: WireAdapter
+        self, settings: DaemonSettings, source: str, wire_adapter: WireAdapter
     ) -> None:
         self._settings = settings
-        self._edge = edge
+        self._wire_adapter = wire_adapter
         self._now: Callable[[], float] = monotonic
         self.incarnation = time_ns() // 1_000_000
         self._own = Peer(
@@ -125,7 +125,7 @@
             settings,
             self.incarnation,
             load_link_key(settings, source),
-            self._received,
+            self._handle_message,
             self._now,
             redial_after_seconds=REDIAL_SECONDS,
         )
@@ -184,39 +184,41 @@
         self._session: ClientSession | None = None
         self._tasks: list[asyncio.Task[None]] = []
         self._had_replicas = False
-        self._greeted_incarnations: dict[str, int] = {}
-        self._taken: dict[int, asyncio.Event] = {}
-        self._at_finishing: list[Callable[[], None]] = []
-        self._at_configured: list[Callable[[EffectiveTree], None]] = []
+        self._answered_incarnations: dict[str, int] = {}
+        self._rows_acks: dict[int, asyncio.Event] = {}
+        self._on_finishing: list[Callable[[], None]] = []
+        self._on_configured: list[Callable[[EffectiveTree], None]] = []
 
     async def start(self) -> None:
-        """Open the links and begin to run the systems."""
+        """Open the links and start the periodic tasks."""
         self._log.start()
         await self._links.start()
         for address in self._settings.seeds:
             if address != self._own.peers:
                 seed_id = seed_peer_id(address)
                 self._links.add(Peer(seed_id, "", address, True))
-        self._greet()
+        self._broadcast_hello()
         self._links.flush()
         self._tasks = [
             asyncio.create_task(run_regularly(TICK_SECONDS, self._tick)),
-            asyncio.create_task(run_regularly(BEAT_SECONDS, self._beat)),
+            asyncio.create_task(
+                run_regularly(HEARTBEAT_SECONDS, self._send_heartbeats)
+            ),
             asyncio.create_task(run_regularly(REPORT_SECONDS, self._tick_load)),
         ]
         logger.info("started", extra={"incarnation": self.incarnation})
 
     def make_gateway(self, is_crowded: Callable[[], bool]) -> GatewayDeps:
-        """Return what serves callers here; to be called on the running loop.
+        """Return the dependencies of callers' requests; needs a running event loop.
 
         Args:
-            is_crowded: Whether few connections of callers are left.
+            is_crowded: Returns whether few free connections for callers are left.
         """
         loop = asyncio.get_running_loop()
         self._session = make_session(None, IDLE_SECONDS, CONNECT_SECONDS)
         return GatewayDeps(
-            self._edge,
-            make_sender(self._session, self._edge),
+            self._wire_adapter,
+            make_sender(self._session, self._wire_adapter),
             self.placement,
             self.load.gate,
             make_second_sends(self._settings.retry_budget),
@@ -233,34 +235,34 @@
         )
 
     def is_ready(self) -> bool:
-        """Return whether the balancer may send callers here."""
+        """Return whether the balancer may send callers to this instance."""
         return self._stop.is_ready and self._tree.is_ready()
 
     def on_finishing(self, act: Callable[[], None]) -> None:
-        """Call back when a planned stop takes no new requests any more."""
-        self._at_finishing.append(act)
+        """Add a callback for the time when a planned stop stops accepting requests."""
+        self._on_finishing.append(act)
 
     def on_configured(self, act: Callable[[EffectiveTree], None]) -> None:
-        """Call back with each tree that comes into force."""
-        self._at_configured.append(act)
+        """Add a callback for each tree that comes into force."""
+        self._on_configured.append(act)
 
     def reload(self, settings: DaemonSettings) -> None:
-        """Take settings that have changed while the process runs.
+        """Apply settings that changed while the process runs.
 
-        Only the seeds can change: whoever lost all that it knew finds the others by
-        the new ones.
+        Only the seeds can change: an instance that lost all its peers finds the others
+        by the new ones.
         """
         for address in settings.seeds:
             is_known = address in (*self._roster.seeds, self._own.peers)
             if not is_known and not self._roster.has_address(address):
                 self._links.add(Peer(seed_peer_id(address), "", address, True))
         logger.info("settings reloaded", extra={"seeds": settings.seeds})
-        self._greet()
+        self._broadcast_hello()
 
     def request_stop(self) -> None:
-        """Begin a planned stop; asked again it cuts nothing."""
+        """Begin a planned stop; a repeated call does not cut it short."""
         self._stop.ask(self._now())
-        self._beat()
+        self._send_heartbeats()
 
     async def close(self) -> None:
         """Close all that ``start`` and ``make_gateway`` opened."""
@@ -275,60 +277,60 @@
             await self._session.close()
         logger.info("stopped")
 
-    # --- what control asks ----------------------------------------------------
+    # --- calls on the control port --------------------------------------------
 
     async def handle_target_heartbeat(self, row: HeartbeatRow) -> None:
-        """Take a target's heartbeat and tell all others what changed.
+        """Handle a target's heartbeat and send changes to all other instances.
 
-        A target that leaves is acknowledged only once another replica knows it too,
-        where any can be reached. If this process ended right after the answer, the
-        others would else go on sending requests to where nobody listens.
+        A leave is acknowledged only after another replica has it too, if any can be
+        reached. Otherwise, if this process ended right after the answer, the others
+        would go on sending requests to an address without a listener.
         """
         token = randbits(TOKEN_BITS) if row.state is not TargetState.READY else 0
         before = self.table.entries.get(row.target_id)
         outgoing = self.table.handle_heartbeat(row, self._now(), token)
         if outgoing:
             self._log_target(row, before)
-        await self._tell_targets(outgoing, token)
+        await self._announce_targets(outgoing, token)
 
     async def handle_target_leave(self, target_id: str) -> None:
-        """Take a target's word that it ends; acknowledged like a heartbeat."""
+        """Handle a target's leave, acknowledged like a heartbeat."""
         token = randbits(TOKEN_BITS)
         outgoing = self.table.handle_leave(target_id, self._now(), token)
         if outgoing:
             logger.info("target left", extra={"target": target_id})
-        await self._tell_targets(outgoing, token)
+        await self._announce_targets(outgoing, token)
 
-    async def _tell_targets(self, outgoing: Sequence[Outgoing], token: int) -> None:
+    async def _announce_targets(self, outgoing: Sequence[Outgoing], token: int) -> None:
         self._send_all(outgoing)
         if not outgoing or not token:
             return
         self._links.flush()
-        taken = self._taken[token] = asyncio.Event()
+        ack = self._rows_acks[token] = asyncio.Event()
         try:
-            async with asyncio.timeout(TAKEN_SECONDS):
-                await taken.wait()
+            async with asyncio.timeout(ROWS_ACK_TIMEOUT_SECONDS):
+                await ack.wait()
         except TimeoutError:
-            logger.warning("no other replica knows a leaving target yet")
+            logger.warning("no other replica has acknowledged a leaving target yet")
         finally:
-            del self._taken[token]
+            del self._rows_acks[token]
 
     def _data_centres(self) -> frozenset[str]:
         """Return the data centres of the settings, of instances and of targets."""
-        of_targets = {known.row.data_centre for known in self.table.entries.values()}
+        of_targets = {entry.row.data_centre for entry in self.table.entries.values()}
         return self._roster.data_centres() | of_targets | set(self._settings.regions)
 
     def _new_machines(self) -> tuple[StateMachine, ...]:
-        """Return the log's state machines in their first state."""
+        """Return the log's state machines in their initial state."""
         self._machine = TreeMachine(self._tree.committed)
         return (self._machine, ClaimsMachine(), FencingMachine())
 
-    # --- systems --------------------------------------------------------------
+    # --- periodic tasks -------------------------------------------------------
 
     def _configure(self, tree: EffectiveTree) -> None:
         self._state = make_gateway_state(tree)
         self.placement.configure(tree, self._now())
-        for act in self._at_configured:
+        for act in self._on_configured:
             act(tree)
         self.metrics.set_level("tree_revision", tree.revision)
 
@@ -347,19 +349,19 @@
             self._log.set_wanted_voters(self._log.succession(now_seconds))
             self._log.tick(now_seconds)
         for peer_id in self._links.redial_silent_peers(now_seconds):
-            self._introduce(peer_id)
+            self._send_hello(peer_id)
         self._tree.tick()
         load = StopLoad(self.metrics.open_calls, 0, 0)
         delay_seconds = 0.0 if self._own.has_disk else UNREADY_SECONDS
         was_serving = self._stop.accepts_requests
         self._stop.advance(load, delay_seconds, now_seconds)
         if was_serving and not self._stop.accepts_requests:
-            for act in self._at_finishing:
+            for act in self._on_finishing:
                 act()
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         now_seconds = self._now()
-        self._greet()
+        self._broadcast_hello()
         self._links.send(Outgoing(None, self._heartbeat(now_seconds)))
         if self._own.has_disk:
             self._links.send(Outgoing(None, self.table.make_recent_heartbeats()))
@@ -367,14 +369,14 @@
         self.placement.forget()
         for peer_id in self._roster.remove_silent(now_seconds):
             self._links.remove(peer_id)
-            self._greeted_incarnations.pop(peer_id, None)
+            self._answered_incarnations.pop(peer_id, None)
         self._links.flush()
-        self._note_replicas(now_seconds)
+        self._log_replica_contact(now_seconds)
         self.load.log_shares(now_seconds)
-        self._count_shares()
+        self._set_share_levels()
         self.metrics.flush()
 
-    def _count_shares(self) -> None:
+    def _set_share_levels(self) -> None:
         for admission, tokens in self.load.gate.account.totals.items():
             self.metrics.set_admitted_tokens(admission.value, tokens)
         self.metrics.set_level(
@@ -387,17 +389,19 @@
             self.metrics.set_level("share_routers", shares.routers)
             self.metrics.set_level("share_limited_customers", len(shares.fractions))
 
-    def _greet(self) -> None:
+    def _broadcast_hello(self) -> None:
         self._links.send(Outgoing(None, self._roster.make_hello(self._now())))
 
     def _tick_load(self) -> None:
         self.load.tick(self._now())
 
-    def _note_replicas(self, now_seconds: float) -> None:
+    def _log_replica_contact(self, now_seconds: float) -> None:
         has_replicas = bool(self._roster.live_replicas(now_seconds, 2.0))
         if has_replicas != self._had_replicas:
             self._had_replicas = has_replicas
-            text = "replicas are heard" if has_replicas else "no replica is heard"
+            text = (
+                "replicas are reachable" if has_replicas else "no replica is reachable"
+            )
             logger.warning(text)
 
     # --- messages -------------------------------------------------------------
@@ -409,13 +413,15 @@
     def _send_log(self, receiver_id: str, message: Message) -> None:
         self._links.send(Outgoing(receiver_id, message, urgent=True))
 
-    def _received(self, sender_id: str, incarnation: int, message: Message) -> None:
+    def _handle_message(
+        self, sender_id: str, incarnation: int, message: Message
+    ) -> None:
         now_seconds = self._now()
         match message:
             case Hello():
                 for peer in self._roster.handle_hello(sender_id, message, now_seconds):
-                    self._link(peer)
-                self._answer_start(sender_id, incarnation)
+                    self._add_link(peer)
+                self._answer_started_peer(sender_id, incarnation)
             case StaleIncarnation():
                 self._raise_incarnation(message.highest_incarnation)
             case Heartbeat():
@@ -426,8 +432,8 @@
                     self.table.handle_message(sender_id, message, now_seconds)
                 )
             case HeartbeatRowsAck():
-                if message.token in self._taken:
-                    self._taken[message.token].set()
+                if message.token in self._rows_acks:
+                    self._rows_acks[message.token].set()
             case RouterLoad():
                 self.load.received(sender_id, message, now_seconds)
             case RouterLoadHandover():
@@ -441,26 +447,26 @@
             case LogPayload() | ProposalRequest() | ProposalReply():
                 self._log.received(sender_id, incarnation, message, now_seconds)
             case _:
-                raise PeerError(f"{type(message).__name__} has no place here")
+                raise PeerError(f"unexpected message {type(message).__name__}")
 
-    def _answer_start(self, sender_id: str, incarnation: int) -> None:
-        """Tell a process that has just started at once what it will hear regularly.
+    def _answer_started_peer(self, sender_id: str, incarnation: int) -> None:
+        """Send a process that has just started the regular messages at once.
 
-        After a loss of all power everybody waits for everybody's next greeting, half a
-        second for each step: who there is, which settings are the newest, what they
-        are. Callers are refused until then.
+        After a loss of all power, all instances would otherwise wait for each other's
+        next hello, half a second for each step: which instances there are, which
+        settings are the newest, what they are. Callers are refused until then.
         """
-        if self._greeted_incarnations.get(sender_id) == incarnation:
+        if self._answered_incarnations.get(sender_id) == incarnation:
             return
-        self._greeted_incarnations[sender_id] = incarnation
+        self._answered_incarnations[sender_id] = incarnation
         self._links.redial_if_silent(sender_id)
-        self._introduce(sender_id)
+        self._send_hello(sender_id)
 
-    def _introduce(self, peer_id: str) -> None:
-        """Greet one peer, and tell it the state here, at once."""
+    def _send_hello(self, peer_id: str) -> None:
+        """Send one peer a hello and a heartbeat at once."""
         now_seconds = self._now()
-        greeting = self._roster.make_hello(now_seconds)
-        self._links.send(Outgoing(peer_id, greeting, urgent=True))
+        hello = self._roster.make_hello(now_seconds)
+        self._links.send(Outgoing(peer_id, hello, urgent=True))
         self._links.send(Outgoing(peer_id, self._heartbeat(now_seconds)))
 
     def _heartbeat(self, now_seconds: float) -> Heartbeat:
@@ -468,15 +474,15 @@
             self._instance_state(), self._tree.revision, now_seconds
         )
 
-    def _link(self, peer: Peer) -> None:
-        """Keep a link where either end has a disk."""
+    def _add_link(self, peer: Peer) -> None:
+        """Add a link if either end has a disk."""
         if peer.has_disk or self._own.has_disk:
             self._links.add(peer)
 
-    def _raise_incarnation(self, heard: int) -> None:
-        if self._links.raise_incarnation(heard):
+    def _raise_incarnation(self, highest: int) -> None:
+        if self._links.raise_incarnation(highest):
             logger.warning(
-                "an earlier process had a higher number", extra={"of": heard}
+                "an earlier process had a higher incarnation", extra={"of": highest}
             )
 
     def _log_target(self, row: HeartbeatRow, before: HeartbeatEntry | None) -> None:
@@ -500,13 +506,13 @@
 
 
 def make_gateway_node(
-    settings: DaemonSettings, source: str, edge: WireAdapter
+    settings: DaemonSettings, source: str, wire_adapter: WireAdapter
 ) -> GatewayNode:
     """Return an instance that is not started yet.
 
     Args:
         settings: Its settings.
         source: The file that they came from, for errors.
-        edge: How callers and targets speak.
+        wire_adapter: The wire format of callers and targets.
     """
-    return GatewayNode(settings, source, edge)
+    return GatewayNode(settings, source, wire_adapter)
--- a/sesameford/gateway/operator_calls.py
+++ b/sesameford/gateway/operator_calls.py
@@ -1,4 +1,4 @@
-"""What the operator of a deployment that finds itself by seeds asks of an instance."""
+"""Operator calls at one instance of a deployment that is discovered by seeds."""
 
 import asyncio
 import logging
@@ -22,7 +22,7 @@
 
 logger = logging.getLogger(__name__)
 
-# How long a replica that heard of the newest version may need to have it itself.
+# How long a replica may take to apply the newest agreed version.
 CATCH_UP_SECONDS = 0.8
 CATCH_UP_STEP_SECONDS = 0.01
 
@@ -37,8 +37,8 @@
 
     Args:
         propose: Brings a command to agreement.
-        machine: Returns the tree's state machine here.
-        data_centres: Returns the data centres that are known here.
+        machine: Returns this instance's state machine of the tree.
+        data_centres: Returns the data centres that this instance knows.
         now: The present time.
     """
 
@@ -51,7 +51,7 @@
         """Bring a declaration to agreement.
 
         Args:
-            declaration: What is declared.
+            declaration: The declared part of the tree, with its declarer and version.
 
         Returns:
             The newest accepted version, which may be a higher one.
@@ -79,15 +79,15 @@
     async def read_declared_text(self) -> bytes:
         """Return the newest accepted declaration's document.
 
-        The version is agreed anew, since a replica that was cut off does not know
-        that others have accepted a newer one.
+        The version is read by a new agreement, since a replica that was cut off does
+        not know whether others have accepted a newer one.
 
         Raises:
-            NoQuorumError: This instance can't be sure which one is the newest.
+            NoQuorumError: This instance can't determine the newest version.
         """
         name = f"read/{token_hex(8)}"
-        wanted = encode_command(DeclaredVersionQuery())
-        answer = decode_answer(await self.propose(name, MACHINE_NAME, wanted))
+        query = encode_command(DeclaredVersionQuery())
+        answer = decode_answer(await self.propose(name, MACHINE_NAME, query))
         give_up_at_seconds = self.now() + CATCH_UP_SECONDS
         while self.machine().declared_version < answer.version:
             if self.now() > give_up_at_seconds:
@@ -103,10 +103,10 @@
         Args:
             data_centre: Its name.
             evacuated: Whether its targets get no more new work.
-            operator: Who orders it.
+            operator: The operator who orders it.
 
         Raises:
-            UnknownDataCentreError: There is none of this name.
+            UnknownDataCentreError: No data centre has this name.
             NoQuorumError: It may be accepted later.
         """
         deps = EvacuationDeps(
