--- a/sesameford/discovery/founding_mark.py
+++ b/sesameford/discovery/founding_mark.py
@@ -1,4 +1,4 @@
-"""Remembers on the disk that its instance was there when the deployment began."""
+"""Mark on the disk of an instance that took part in the deployment's first start."""
 
 from pathlib import Path
 
@@ -8,12 +8,12 @@
 
 
 def is_founder(folder: Path, founds: bool) -> bool:
-    """Return whether this disk belongs to one of the first start.
+    """Return whether this disk took part in the first start.
 
     A process may end in its first second, before the log is founded, and its settings
-    speak of the first start no more when it is back. If it forgot, the others would
-    wait for it for ever, and no change would be accepted. A disk that is replaced
-    later has no mark, so it founds nothing.
+    may no longer declare the first start when it is back. Without the mark, the other
+    founders would wait for it for ever, and no change would be accepted. A disk that is
+    replaced later has no mark, so it founds nothing.
 
     Args:
         folder: The data folder.
--- a/sesameford/discovery/hello_peer.py
+++ b/sesameford/discovery/hello_peer.py
@@ -1,9 +1,9 @@
-"""Whom a greeting comes from."""
+"""The sender of a hello as a peer."""
 
 from sesameford.messages import Hello
 from sesameford.settings import Peer
 
 
-def peer_from_hello(sender_id: str, greeting: Hello) -> Peer:
-    """Return the sender of a greeting as the other end of a link."""
-    return Peer(sender_id, greeting.data_centre, greeting.address, greeting.has_disk)
+def peer_from_hello(sender_id: str, hello: Hello) -> Peer:
+    """Return the sender of a hello as the other end of a link."""
+    return Peer(sender_id, hello.data_centre, hello.address, hello.has_disk)
