--- a/tests/seed_world.py
+++ b/tests/seed_world.py
@@ -1,4 +1,4 @@
-"""Replicas that know only seeds, in virtual time: they find each other and the log."""
+"""Simulated replicas that know only seeds and discover each other, in virtual time."""
 
 from random import Random
 
@@ -8,13 +8,13 @@
 from tests.log_world import World
 
 SEEDS = ("r0:1", "r1:1", "r2:1")
-GREETING_TICKS = 5
+HELLO_TICKS = 5
 
 
 class SeedWorld(World):
-    """A world whose nodes are started one by one and greet each other.
+    """A world whose nodes are started one by one and send each other hellos.
 
-    Greetings go over the same links as the log's messages, and are lost like them.
+    Hellos use the same links as the log's messages, and are lost like them.
     """
 
     def __init__(self, size: int) -> None:
@@ -22,9 +22,9 @@
         self.links: dict[str, set[str]] = {}
         self.founds = dict.fromkeys((f"r{n}" for n in range(size)), True)
         self.started: set[str] = set()
-        self.greeting_loss = 0.0
+        self.hello_loss = 0.0
         self.ticks = 0
-        self.chance = Random(size)
+        self.hello_random = Random(size)
         self.is_built = False
         super().__init__(size)
         self.is_built = True
@@ -48,32 +48,32 @@
 
     def tick(self) -> None:
         self.ticks += 1
-        if self.ticks % GREETING_TICKS == 0:
+        if self.ticks % HELLO_TICKS == 0:
             for name in self.living():
-                self._greet(name)
+                self._send_hellos(name)
         for name in self.living():
             core = self.nodes[name].replica.core
             roster = self.rosters[name]
-            known = roster.log_peer_ids(core.log.last_index == 0)
-            core.peer_ids = tuple(one for one in known if one != name)
+            peer_ids = roster.log_peer_ids(core.log.last_index == 0)
+            core.peer_ids = tuple(one for one in peer_ids if one != name)
             core.may_found = roster.may_found()
             core.wanted_voters = voters_by_health(core, self.clock(name))
         super().tick()
 
     def clusters(self) -> set[int]:
-        """Return the logs that any running node belongs to."""
+        """Return the cluster ids of the logs that running nodes belong to."""
         cores = [self.nodes[name].replica.core for name in self.living()]
         return {core.cluster_id for core in cores if core.cluster_id}
 
-    def _greet(self, name: str) -> None:
-        greeting = self.rosters[name].make_hello(self.clock(name))
+    def _send_hellos(self, name: str) -> None:
+        hello = self.rosters[name].make_hello(self.clock(name))
         for receiver in sorted(self.links[name]):
-            is_lost = self.chance.random() < self.greeting_loss
+            is_lost = self.hello_random.random() < self.hello_loss
             if receiver in self.living() and not is_lost:
                 if (name, receiver) in self.blocked:
                     continue
                 found = self.rosters[receiver].handle_hello(
-                    name, greeting, self.clock(receiver)
+                    name, hello, self.clock(receiver)
                 )
                 self.links[receiver].update(one.instance_id for one in found)
         self.links[name].discard(name)
--- a/tests/test_beat_table.py
+++ b/tests/test_beat_table.py
@@ -1,4 +1,4 @@
-"""The table of targets at several instances, over messages that fail."""
+"""The heartbeat table at several instances, with lost, doubled and late messages."""
 
 from random import Random
 
@@ -17,9 +17,9 @@
 
 
 def test_a_late_heartbeat_does_not_bring_a_leaving_target_back():
-    """A heartbeat is held up on its way and arrives after the target said it leaves.
+    """A heartbeat is delayed and arrives after the target announced its leave.
 
-    Taken as news, requests would go to where nobody listens any more.
+    Stored as a newer row, it would send requests to an address without a listener.
     """
     table = make_heartbeat_table()
     table.handle_heartbeat(row("t", 4, TargetState.DRAINING), 0.0)
@@ -30,17 +30,17 @@
     assert table.entries["t"].row.state is TargetState.GONE
 
 
-def test_a_leave_before_any_heartbeat_is_remembered():
+def test_a_leave_before_any_heartbeat_is_stored():
     table = make_heartbeat_table()
     table.handle_leave("t", 0.0)
     table.handle_heartbeat(row("t", 1), 1.0)
     assert table.entries["t"].row.state is TargetState.GONE
 
 
-def test_a_target_that_starts_again_under_its_id_counts_anew():
-    """It said that it ends, or crashed, and is back with its numbers from the start.
+def test_a_target_that_restarts_under_its_id_is_ready():
+    """It left or crashed, and is back with a new incarnation and its first sequence.
 
-    Judged by the numbers of before it would get nothing for good.
+    Compared with the sequence of the old incarnation it would never get work again.
     """
     table = make_heartbeat_table()
     table.handle_heartbeat(replace(row("t", 40), incarnation=1_000), 0.0)
@@ -52,25 +52,25 @@
     assert table.entries["t"].row.state is TargetState.READY
 
 
-def test_the_same_again_is_told_to_nobody():
+def test_an_unchanged_heartbeat_is_not_sent_on():
     table = make_heartbeat_table()
     assert table.handle_heartbeat(row("t", 1), 0.0)
     assert not table.handle_heartbeat(row("t", 2), 1.0)
 
 
 class BeatTables(RuleBasedStateMachine):
-    """Two replicas and a router; beats and leaves go to any replica.
+    """Two replicas and a router; heartbeats and leaves go to any replica.
 
-    Messages are lost, doubled and late. The oracle knows the last thing that each
-    target said. When all is delivered, every table says the same.
+    Messages are lost, doubled and late. The model holds the last announcement of each
+    target. When all messages are delivered, every table agrees with it.
     """
 
     def __init__(self):
         super().__init__()
         self.tables = {name: self._empty(name) for name in ("c1", "c2", "r1")}
-        self.links = []
-        self.said = {}
-        self.unanswered = set()
+        self.in_transit = []
+        self.announced = {}
+        self.unacknowledged = set()
         self.now_seconds = 0.0
 
     def _empty(self, name):
@@ -82,20 +82,22 @@
                 if receiver == sender or one.receiver_id not in (None, receiver):
                     continue
                 if "c" in sender + receiver:
-                    self.links.append((sender, receiver, one.message))
+                    self.in_transit.append((sender, receiver, one.message))
 
     def _deliver(self, position):
-        sender, receiver, message = self.links[position]
+        sender, receiver, message = self.in_transit[position]
         answer = self.tables[receiver].handle_message(sender, message, self.now_seconds)
         self._send(receiver, answer)
 
     @rule(name=st.sampled_from("tuv"), at=st.sampled_from(["c1", "c2"]))
     def beat(self, name, at):
-        sequence, state = self.said.get(name, (0, TargetState.READY))
+        sequence, state = self.announced.get(name, (0, TargetState.READY))
         if state is not TargetState.GONE:
-            self.said[name] = (sequence + 1, state)
-            beat = row(name, sequence + 1, state)
-            self._send(at, self.tables[at].handle_heartbeat(beat, self.now_seconds))
+            self.announced[name] = (sequence + 1, state)
+            heartbeat = row(name, sequence + 1, state)
+            self._send(
+                at, self.tables[at].handle_heartbeat(heartbeat, self.now_seconds)
+            )
 
     @rule(
         name=st.sampled_from("tuv"),
@@ -104,37 +106,39 @@
         reaches=st.booleans(),
     )
     def leave(self, name, at, state, reaches):
-        """A target says that it leaves, and is answered once two replicas know it.
+        """A target announces its leave, acknowledged once two replicas have it.
 
-        Without an answer it may be forgotten with the one replica that heard it.
+        Without the acknowledgement it may be lost with the replica that received it.
         """
-        sequence, before = self.said.get(name, (0, TargetState.READY))
+        sequence, before = self.announced.get(name, (0, TargetState.READY))
         if before is not TargetState.READY:
             return
         sequence += 1
-        beat = row(name, sequence, state)
-        outgoing = self.tables[at].handle_heartbeat(beat, self.now_seconds, token=7)
+        heartbeat = row(name, sequence, state)
+        outgoing = self.tables[at].handle_heartbeat(
+            heartbeat, self.now_seconds, token=7
+        )
         self._send(at, outgoing)
-        self.said[name] = (sequence, state)
+        self.announced[name] = (sequence, state)
         other = "c2" if at == "c1" else "c1"
-        taken = ()
+        acks = ()
         if reaches:
             for one in outgoing:
-                taken = self.tables[other].handle_message(
+                acks = self.tables[other].handle_message(
                     at, one.message, self.now_seconds
                 )
-        if not taken:
-            self.unanswered.add(name)
+        if not acks:
+            self.unacknowledged.add(name)
 
     @rule(position=st.integers(0, 30), fate=st.sampled_from(["take", "lose", "double"]))
     def message(self, position, fate):
-        if not self.links:
+        if not self.in_transit:
             return
-        position %= len(self.links)
+        position %= len(self.in_transit)
         if fate != "lose":
             self._deliver(position)
         if fate != "double":
-            del self.links[position]
+            del self.in_transit[position]
 
     @rule(name=st.sampled_from(["c2", "r1"]))
     def restart_empty(self, name):
@@ -142,43 +146,44 @@
 
     @rule(name=st.sampled_from("tuv"), at=st.sampled_from(["c1", "c2"]))
     def late_beat(self, name, at):
-        if name in self.said and self.said[name][0] > 0:
+        if name in self.announced and self.announced[name][0] > 0:
             self._send(
                 at, self.tables[at].handle_heartbeat(row(name, 1), self.now_seconds)
             )
 
     @rule(seed=st.integers(0, 99))
     def settle(self, seed):
-        """Mend the network: all tables agree after a few rounds."""
+        """Deliver all messages: all tables agree after a few rounds."""
         random = Random(seed)
         for _ in range(6):
             self.now_seconds += 1.0
-            for name, (sequence, state) in list(self.said.items()):
+            for name, (sequence, state) in list(self.announced.items()):
                 if state is not TargetState.GONE:
-                    self.said[name] = (sequence + 1, state)
-                    beat = row(name, sequence + 1, state)
+                    self.announced[name] = (sequence + 1, state)
+                    heartbeat = row(name, sequence + 1, state)
                     self._send(
-                        "c1", self.tables["c1"].handle_heartbeat(beat, self.now_seconds)
+                        "c1",
+                        self.tables["c1"].handle_heartbeat(heartbeat, self.now_seconds),
                     )
             for name, table in self.tables.items():
                 if name != "r1":
-                    heard = table.make_recent_heartbeats()
+                    recent = table.make_recent_heartbeats()
                     for receiver in self.tables:
                         if receiver != name:
-                            self.links.append((name, receiver, heard))
-            while self.links:
-                position = random.randrange(len(self.links))
+                            self.in_transit.append((name, receiver, recent))
+            while self.in_transit:
+                position = random.randrange(len(self.in_transit))
                 self._deliver(position)
-                del self.links[position]
+                del self.in_transit[position]
         for table in self.tables.values():
-            for name, (_, state) in self.said.items():
-                if name in self.unanswered:
+            for name, (_, state) in self.announced.items():
+                if name in self.unacknowledged:
                     continue
-                known = table.entries.get(name)
+                entry = table.entries.get(name)
                 if state is TargetState.GONE:
-                    assert known is None or known.row.state is TargetState.GONE
+                    assert entry is None or entry.row.state is TargetState.GONE
                 else:
-                    assert known.row.state is state
+                    assert entry.row.state is state
 
 
 TestBeatTables = BeatTables.TestCase
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -1,4 +1,4 @@
-"""Instances that know three seeds find each other, and one log, whatever fails."""
+"""Instances that know three seeds find each other and found one log under faults."""
 
 from random import Random
 
@@ -15,7 +15,7 @@
 from sesameford.settings import Peer
 from tests.seed_world import SEEDS, SeedWorld
 
-# The seconds in which a lost disk must be made good before the next may be lost.
+# The time in which a lost disk must be replaced before the next one may be lost.
 CATCH_UP_SECONDS = 6.0
 SETTLE_TICKS = 150
 
@@ -33,8 +33,8 @@
     return {one.instance_id for one in world.nodes[name].replica.core.voters}
 
 
-def accept(world):
-    """Bring one change to agreement."""
+def accept_change(world):
+    """Propose one change until it is accepted."""
     number = len(world.accepted)
     command = Command(f"p{number}", "revisions", b"%d:v%d" % (number, number))
     for _ in range(30):
@@ -51,7 +51,7 @@
 
 
 def running_world(size, seconds):
-    """Return a world in which all nodes were started so long ago."""
+    """Return a world whose nodes have all run for this time."""
     world = SeedWorld(size)
     for name in world.names:
         world.start(name)
@@ -67,13 +67,13 @@
         run(world, 0.3)
     run(world, 6)
     assert len(world.clusters()) == 1
-    accept(world)
+    accept_change(world)
 
 
-def test_nobody_founds_while_a_seed_has_not_been_heard():
+def test_no_log_is_founded_before_all_seeds_are_seen():
     """Two of three seeds start; the third is late.
 
-    If the two began a log and it another, accepted changes would be in one of them.
+    If the two founded a log and it another, accepted changes would be in only one.
     """
     world = SeedWorld(4)
     for name in ("r0", "r1", "r3"):
@@ -82,13 +82,13 @@
     assert world.clusters() == set()
     world.start("r2")
     run(world, 6)
-    accept(world)
+    accept_change(world)
 
 
-def test_a_replica_with_an_empty_disk_founds_nothing():
+def test_a_replica_with_an_empty_disk_founds_no_log():
     """A replica loses its disk while the two others are cut off from it."""
     world = running_world(3, 6)
-    accept(world)
+    accept_change(world)
     world.crash("r0")
     world.empty_disk("r0")
     others = ("r1", "r2")
@@ -99,20 +99,20 @@
     world.blocked = set()
     run(world, 8)
     assert voters(world) == {"r0", "r1", "r2"}
-    accept(world)
+    accept_change(world)
 
 
-def test_a_lost_replica_is_replaced_by_one_that_was_never_known():
-    """A machine is gone for good and an empty one comes at another address.
+def test_a_lost_replica_is_replaced_by_a_new_one():
+    """A machine is lost for good and replaced by an empty one at another address.
 
-    Until its vote passes on, the next loss would stop all changes. It takes as long
-    as the silence that counts as lost, and a few messages.
+    Until the new one has its vote, the next loss would stop all changes. That takes the
+    silence after which a replica counts as lost, and a few messages.
     """
     world = SeedWorld(4)
     for name in ("r0", "r1", "r2"):
         world.start(name)
     run(world, 6)
-    accept(world)
+    accept_change(world)
     world.crash("r1")
     run(world, 1)
     world.founds["r3"] = False
@@ -121,11 +121,11 @@
     assert voters(world) == {"r0", "r2", "r3"}
     world.crash("r0")
     run(world, 4)
-    accept(world)
+    accept_change(world)
 
 
 def test_a_fourth_replica_waits_for_a_vote():
-    """Four voters bear no more losses than three and wait for one disk more."""
+    """Four voters tolerate no more losses than three and wait for one disk more."""
     world = running_world(4, 10)
     assert len(voters(world)) == 3
 
@@ -136,23 +136,23 @@
 
 
 def test_replicas_that_are_down_for_a_while_keep_their_votes():
-    """A data centre loses power for some seconds, and nobody can take its place."""
+    """A data centre loses power for some seconds, and no replica can replace it."""
     world = running_world(3, 6)
     world.crash("r1")
     run(world, 15)
     assert voters(world) == {"r0", "r1", "r2"}
     world.start("r1")
     run(world, 4)
-    accept(world)
+    accept_change(world)
 
 
 def test_a_restarted_instance_finds_the_others_by_one_live_seed():
-    """All seeds but one are gone; the one that is left tells of the others."""
+    """All seeds but one are gone; the remaining one lists the other replicas."""
     own = Peer("r9", "a", "r9:1", True)
     roster = make_roster(own, SEEDS, False)
     rows = (ReplicaRow("r7", "a", "r7:1"), ReplicaRow("r9", "a", "r9:1"))
-    greeting = Hello("r0:1", "a", True, False, rows)
-    found = {one.instance_id for one in roster.handle_hello("r0", greeting, 0.0)}
+    hello = Hello("r0:1", "a", True, False, rows)
+    found = {one.instance_id for one in roster.handle_hello("r0", hello, 0.0)}
     assert found == {"r0", "r7"}
     assert roster.remove_silent(FORGOTTEN_SECONDS + 1) == ["r0"]
 
@@ -160,14 +160,14 @@
 class Founding(RuleBasedStateMachine):
     """Processes start in any order, crash and restart; disks are lost; links fail.
 
-    There is never a second log, what was accepted stays accepted, and with everything
-    mended the next change is accepted.
+    There is never a second log, accepted changes stay accepted, and after all faults
+    are repaired the next change is accepted.
     """
 
     def __init__(self):
         super().__init__()
         self.world = SeedWorld(5)
-        self.wiped_at_seconds = -CATCH_UP_SECONDS
+        self.disk_lost_at_seconds = -CATCH_UP_SECONDS
 
     @rule(number=st.integers(0, 4))
     def start(self, number):
@@ -187,16 +187,16 @@
     def lose_disk(self, number):
         name = f"r{number}"
         now_seconds = self.world.now_seconds
-        is_calm = now_seconds - self.wiped_at_seconds > CATCH_UP_SECONDS
+        is_calm = now_seconds - self.disk_lost_at_seconds > CATCH_UP_SECONDS
         if len(self.world.living()) < 5 or not is_calm:
             return
         if self.world.blocked or not self.world.may_empty(name):
             return
-        self.wiped_at_seconds = now_seconds
+        self.disk_lost_at_seconds = now_seconds
         self.world.crash(name)
         self.world.empty_disk(name)
         self.world.start(name)
-        # Nothing else fails until the disk is made good.
+        # No other fault until the disk has caught up.
         run(self.world, CATCH_UP_SECONDS)
 
     @rule(one=st.integers(0, 4), other=st.integers(0, 4), both=st.booleans())
@@ -215,18 +215,18 @@
         loss=st.sampled_from([0, 0.2]),
     )
     def pass_time(self, ticks, seed, loss):
-        self.world.greeting_loss = loss
+        self.world.hello_loss = loss
         self.world.run(ticks, Random(seed), loss, loss / 2)
 
     @rule()
     def mend_and_accept(self):
         self.world.blocked.clear()
-        self.world.greeting_loss = 0.0
+        self.world.hello_loss = 0.0
         for name in self.world.names:
             if name not in self.world.living():
                 self.world.start(name)
         self.world.run(SETTLE_TICKS, Random(3), 0.0, 0.0)
-        accept(self.world)
+        accept_change(self.world)
 
     @invariant()
     def one_log(self):
@@ -240,11 +240,11 @@
 )
 
 
-def test_a_disk_remembers_the_first_start(tmp_path):
+def test_a_disk_keeps_the_mark_of_the_first_start(tmp_path):
     """A process ends in its first second and is back before the log is founded.
 
-    Its settings speak of the first start no more. If it forgot, the other seeds would
-    wait for it for ever.
+    Its settings no longer declare the first start. Without the mark, the other seeds
+    would wait for it for ever.
     """
     folder = tmp_path / "data"
     assert is_founder(folder, True)
@@ -252,12 +252,12 @@
     assert not is_founder(tmp_path / "another", False)
 
 
-def test_routers_count_as_living_while_they_are_heard():
-    """A replica gives shares out for all routers that live, known or not."""
+def test_routers_count_as_live_while_they_send_heartbeats():
+    """A replica computes shares for all live routers, whether they reported or not."""
     own = Peer("replica-1", "a", "127.0.0.1:1", True)
     roster = make_roster(own, (), False)
-    greetings = {"r1": False, "r2": False, "replica-2": True}
-    for name, has_disk in greetings.items():
+    has_disks = {"r1": False, "r2": False, "replica-2": True}
+    for name, has_disk in has_disks.items():
         roster.handle_hello(name, Hello("127.0.0.1:2", "a", has_disk, False, ()), 1.0)
     assert roster.live_routers(2.0, 1.5) == 2
     roster.record_heartbeat("r1", 3.0)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Who is served while customers ask for more than engines can give."""
+"""Shares of customers while they request more than engines can serve."""
 
 from random import Random
 
@@ -11,7 +11,7 @@
 from sesameford.load_messages import CustomerRates, PartialLoad, ShareRow
 
 DECLARED_TOKENS = 100_000.0
-WANTED_WAIT_SECONDS = 0.1
+BASE_WAIT_SECONDS = 0.1
 TICK_SECONDS = 0.05
 
 
@@ -20,16 +20,16 @@
     st.dictionaries(st.text(max_size=3), st.floats(0.1, 1e6), min_size=1),
     st.floats(1.0, 1e6),
 )
-def test_amounts_are_max_min(asked, capacity):
-    amounts = fair_amounts(asked, capacity)
-    assert all(amounts[name] <= asked[name] for name in asked)
+def test_amounts_are_max_min(requested, capacity):
+    amounts = fair_amounts(requested, capacity)
+    assert all(amounts[name] <= requested[name] for name in requested)
     assert sum(amounts.values()) <= capacity * 1.0001
-    limited = [amounts[name] for name in asked if amounts[name] < asked[name]]
+    limited = [amounts[name] for name in requested if amounts[name] < requested[name]]
     if not limited:
-        assert sum(asked.values()) <= capacity * 1.0001
+        assert sum(requested.values()) <= capacity * 1.0001
         return
     assert sum(amounts.values()) >= capacity * 0.9999
-    # All who don't get all get the same, and nobody gets more than they.
+    # Customers that don't get all get the same, and no other gets more than they.
     assert max(limited) <= min(limited) * 1.0001
     assert max(amounts.values()) <= max(limited) * 1.0001
 
@@ -44,27 +44,29 @@
     st.floats(1.0, 1e6),
 )
 def test_weighted_amounts_use_all_capacity(customers, capacity):
-    asked = {name: row[0] for name, row in customers.items()}
+    requested = {name: row[0] for name, row in customers.items()}
     weights = {name: row[1] for name, row in customers.items()}
-    amounts = fair_amounts(asked, capacity, weights)
+    amounts = fair_amounts(requested, capacity, weights)
     given_out = sum(amounts.values())
     assert given_out <= capacity * 1.0001
-    assert given_out >= min(capacity, sum(asked.values())) * 0.9999
+    assert given_out >= min(capacity, sum(requested.values())) * 0.9999
     levels = [
-        amounts[name] / weights[name] for name in asked if amounts[name] < asked[name]
+        amounts[name] / weights[name]
+        for name in requested
+        if amounts[name] < requested[name]
     ]
     if levels:
         assert max(levels) <= min(levels) * 1.0001
 
 
 class Engines:
-    """One fluid queue in place of all engines; what they can do is not declared."""
+    """One fluid queue in place of all engines; their real rate is not declared."""
 
     def __init__(self, rate_tokens):
         self.rate_tokens = rate_tokens
         self.backlog_tokens = 0.0
 
-    def pass_time(self):
+    def advance(self):
         done = min(self.backlog_tokens, self.rate_tokens * TICK_SECONDS)
         self.backlog_tokens -= done
         return int(done)
@@ -74,14 +76,14 @@
         return self.backlog_tokens / self.rate_tokens
 
 
-def play(seconds, asked_of, rate_of, size_tokens=1_000):
-    """Play a fleet with one router; return served tokens by customer and waits.
+def simulate(seconds, requested_of, rate_of, size_tokens=1_000):
+    """Simulate a fleet with one router; return served tokens by customer and waits.
 
     Args:
-        seconds: How long.
-        asked_of: Tokens a second by customer, at a time.
-        rate_of: Tokens that the engines read a second, at a time.
-        size_tokens: Of one request.
+        seconds: The simulated time.
+        requested_of: Returns the tokens a second by customer at a time.
+        rate_of: Returns the tokens that the engines read a second at a time.
+        size_tokens: The size of one request.
     """
     table, gate = make_share_table(), make_share_gate(Random(1))
     engines = Engines(rate_of(0.0))
@@ -89,100 +91,102 @@
     for step in range(int(seconds / TICK_SECONDS)):
         now_seconds = step * TICK_SECONDS
         engines.rate_tokens = rate_of(now_seconds)
-        for customer, tokens in asked_of(now_seconds).items():
+        for customer, tokens in requested_of(now_seconds).items():
             due[customer] = due.get(customer, 0.0) + tokens * TICK_SECONDS
             while due[customer] >= size_tokens:
                 due[customer] -= size_tokens
                 if gate.admits(customer, "r", size_tokens):
                     engines.backlog_tokens += size_tokens
                     served[customer] = served.get(customer, 0) + size_tokens
-        begun = engines.pass_time()
+        started = engines.advance()
         waits.append(engines.wait_seconds)
         rows = gate.rows(now_seconds)
-        gate.record_start("all", begun)
+        gate.record_start("all", started)
         handled_tokens = gate.handled.tokens_per_second(now_seconds)
         load = PartialLoad(1, (), rows, engines.wait_seconds, handled_tokens)
-        table.tick((load,), DECLARED_TOKENS, WANTED_WAIT_SECONDS, now_seconds)
+        table.tick((load,), DECLARED_TOKENS, BASE_WAIT_SECONDS, now_seconds)
         gate.set_fractions(table.rows())
     return served, waits
 
 
-def test_a_flood_of_one_customer_is_that_customer_s_to_wait_for():
-    """One customer sends ten times what all engines can do; two others ask little.
+def test_overload_by_one_customer_does_not_delay_others():
+    """One customer sends ten times what all engines can serve; two others send little.
 
-    Without shares the two would wait behind the flood and be late like it.
+    Without shares the two would wait behind the overload and be as late as it.
     """
-    asked = {"flood": 1e6, "small": 20_000.0, "tiny": 5_000.0}
-    served, waits = play(10, lambda _: asked, lambda _: DECLARED_TOKENS)
-    assert served["small"] >= 0.95 * 10 * asked["small"]
-    assert served["tiny"] >= 0.95 * 10 * asked["tiny"]
+    requested = {"flood": 1e6, "small": 20_000.0, "tiny": 5_000.0}
+    served, waits = simulate(10, lambda _: requested, lambda _: DECLARED_TOKENS)
+    assert served["small"] >= 0.95 * 10 * requested["small"]
+    assert served["tiny"] >= 0.95 * 10 * requested["tiny"]
     settled = waits[int(4 / TICK_SECONDS) :]
-    assert max(settled) < 3 * WANTED_WAIT_SECONDS
+    assert max(settled) < 3 * BASE_WAIT_SECONDS
 
 
-def test_customers_who_ask_too_much_get_the_same():
-    asked = {"a": 400_000.0, "b": 200_000.0, "c": 10_000.0}
-    served, _ = play(10, lambda _: asked, lambda _: DECLARED_TOKENS)
+def test_customers_over_their_shares_get_the_same():
+    requested = {"a": 400_000.0, "b": 200_000.0, "c": 10_000.0}
+    served, _ = simulate(10, lambda _: requested, lambda _: DECLARED_TOKENS)
     assert 0.8 < served["a"] / served["b"] < 1.25
 
 
-def test_engines_don_t_idle_while_customers_are_rejected():
-    """Engines do twice what is declared, as they keep most prompts.
+def test_engines_do_not_idle_while_customers_are_rejected():
+    """Engines serve twice the declared rate, since they cache most prompts.
 
-    Held to what is declared, half of the engines would stand still while callers are
-    turned away.
+    With the declared rate as the limit, half of the engines would idle while callers
+    are rejected.
     """
-    asked = {"a": 200_000.0, "b": 200_000.0}
-    served, _ = play(12, lambda _: asked, lambda _: 2 * DECLARED_TOKENS)
+    requested = {"a": 200_000.0, "b": 200_000.0}
+    served, _ = simulate(12, lambda _: requested, lambda _: 2 * DECLARED_TOKENS)
     assert sum(served.values()) > 0.85 * 12 * 2 * DECLARED_TOKENS
 
 
-def test_less_is_let_in_when_engines_are_lost():
+def test_admission_is_lowered_when_engines_are_lost():
     """Two thirds of the engines are lost while the fleet is busy.
 
-    What is let in has to follow, or prompts would wait longer and longer.
+    Unless fewer requests are admitted, prompts wait longer and longer.
     """
-    served, waits = play(
+    served, waits = simulate(
         20,
         lambda _: {"a": 90_000.0, "b": 60_000.0},
         lambda at: DECLARED_TOKENS if at < 5 else DECLARED_TOKENS / 3,
     )
     settled = waits[int(12 / TICK_SECONDS) :]
-    assert sum(settled) / len(settled) < 4 * WANTED_WAIT_SECONDS
+    assert sum(settled) / len(settled) < 4 * BASE_WAIT_SECONDS
     assert served["a"] > 0
 
 
-def test_nobody_is_rejected_while_there_is_room():
-    served, _ = play(10, lambda _: {"a": 60_000.0, "b": 20_000.0}, lambda _: 100_000.0)
+def test_no_customer_is_rejected_while_there_is_spare_capacity():
+    served, _ = simulate(
+        10, lambda _: {"a": 60_000.0, "b": 20_000.0}, lambda _: 100_000.0
+    )
     assert served["a"] >= 0.99 * 600_000 - 1_000
     assert served["b"] >= 0.99 * 200_000 - 1_000
 
 
-def test_a_replica_that_begins_to_add_up_knows_who_asks_too_much():
-    """The replica that adds up ends in the middle of a flood.
+def test_a_new_aggregator_limits_the_same_customers():
+    """The aggregator ends during an overload.
 
-    Were its successor to begin with nothing, the flood would be let in for a second,
-    and then all be refused while engines work that off.
+    If its successor started without limits, the overload would be admitted for a
+    second, and then all requests refused while engines work that off.
     """
     rows = (CustomerRates("flood", 900_000, 70_000), CustomerRates("small", 10_000))
     one, other = make_share_table(), make_share_table()
     for step in range(100):
         load = PartialLoad(1, (), rows, 0.3, 80_000.0 + step)
-        one.tick((load,), DECLARED_TOKENS, WANTED_WAIT_SECONDS, step * TICK_SECONDS)
-    other.tick((load,), DECLARED_TOKENS, WANTED_WAIT_SECONDS, 5.0)
+        one.tick((load,), DECLARED_TOKENS, BASE_WAIT_SECONDS, step * TICK_SECONDS)
+    other.tick((load,), DECLARED_TOKENS, BASE_WAIT_SECONDS, 5.0)
     assert other.capacity_tokens == one.capacity_tokens < DECLARED_TOKENS
     assert other.fractions == one.fractions
 
 
-def test_capacity_is_what_is_declared_until_prompts_wait():
+def test_capacity_is_the_declared_one_until_prompts_wait():
     """All machines have lost power, and the first requests come.
 
-    Nothing has been begun yet. Were that taken for what engines can do, callers would
-    be turned away from idle engines.
+    No request has been started yet. If that were taken for the capacity, callers would
+    be rejected while engines idle.
     """
     table = make_share_table()
     load = PartialLoad(1, (), (CustomerRates("a", 90_000),), 0.0, 0.0)
-    table.tick((load,), DECLARED_TOKENS, WANTED_WAIT_SECONDS, 1.0)
+    table.tick((load,), DECLARED_TOKENS, BASE_WAIT_SECONDS, 1.0)
     assert table.fractions == {}
 
 
@@ -195,10 +199,11 @@
 
 
 @pytest.mark.parametrize("fraction", [0.1, 0.25, 0.5, 0.7])
-def test_routes_that_take_turns_get_each_its_part(fraction):
-    """One caller asks for a draft, then for its headline, again and again.
+def test_alternating_routes_get_each_its_part(fraction):
+    """One caller requests a draft, then its headline, again and again.
 
-    Counted together and in order, it would get only headlines at a half.
+    With one count for both in their order, a fraction of a half would serve headlines
+    only.
     """
     gate = make_share_gate(Random(1))
     gate.set_fractions((ShareRow("a", fraction),))
@@ -210,7 +215,7 @@
         assert abs(count - 200 * fraction) <= 0.1 * 200 * fraction
 
 
-def test_a_route_does_not_wait_for_one_that_is_asked_for_no_more():
+def test_a_route_is_not_deferred_for_one_without_requests():
     gate = make_share_gate(Random(1))
     gate.set_fractions((ShareRow("a", 0.05),))
     for _ in range(7):
@@ -225,10 +230,10 @@
     assert all(gate.admits("b", "r", 1_000_000) for _ in range(100))
 
 
-def test_who_asks_too_much_is_served_where_there_is_room():
-    """A customer floods the fleet while some engines have nothing to do.
+def test_a_customer_over_its_share_is_served_from_spare_capacity():
+    """A customer overloads the fleet while some engines are idle.
 
-    Turning its requests away would serve nobody else sooner.
+    Rejecting its requests would serve no other customer sooner.
     """
     gate = make_share_gate(Random(1))
     gate.set_fractions((ShareRow("a", 0.01),))
@@ -239,13 +244,13 @@
 
 @pytest.mark.parametrize("dropped_each_seconds", [60.0, 2.0, 0.5])
 @pytest.mark.parametrize("fraction", [0.05, 0.2, 0.4, 0.49, 0.5, 0.6])
-def test_the_fraction_sent_is_let_in_at_many_routers(fraction, dropped_each_seconds):
+def test_many_routers_together_admit_the_fraction_sent(fraction, dropped_each_seconds):
     """A customer's ninety requests a second are spread over seventy routers.
 
-    Each sees about one a second, of three routes, and the customer is limited, then
-    not, then again. A router that refuses the first ones, or lets in the first one,
-    each time that it is limited anew gives the customer next to nothing, or nearly
-    all, whatever part it is told: two that were told 0.49 and 0.50 got 0.1 and 0.9.
+    Each sees about one a second, of three routes, and the customer changes between
+    limited and not limited. A router that refuses the first requests, or admits the
+    first one, after each such change gives the customer next to nothing, or nearly all,
+    whatever its fraction: with 0.49 and 0.50 two customers got 0.1 and 0.9.
     """
     random = Random(1)
     gates = [make_share_gate(Random(number)) for number in range(70)]
@@ -259,46 +264,46 @@
                 gate.set_fractions((ShareRow("a", fraction),))
         gate, route = random.choice(gates), random.choice(("r1", "r2", "r3"))
         admitted += gate.admits("a", route, 1_000)
-    # Nobody gets less than half of what another gets who is told the same.
+    # No customer gets less than half of what another gets with the same fraction.
     assert fraction / 1.5 < admitted / requests < 1.5 * fraction
 
 
-@pytest.mark.parametrize("room_part", [0.1, 0.2, 0.4])
-def test_room_beyond_shares_is_given_alike(room_part):
-    """Engines have room at a fifth of the moments; two customers are over their shares.
+@pytest.mark.parametrize("spare_part", [0.1, 0.2, 0.4])
+def test_spare_capacity_is_divided_evenly(spare_part):
+    """Engines have spare capacity at times; two customers are over their shares.
 
-    One asks 8,000 requests a second of all routers, the other 1,200 of two. Were room
-    given to whoever comes, the first would get seven times as much of it, and four
-    times what the other gets in all: each of the other's callers sees refusals while
-    its rival is served far beyond the share of either.
+    One sends 8,000 requests a second to all routers, the other 1,200 to two. If spare
+    capacity went to requests as they arrive, the first would get seven times as much of
+    it at a part of a fifth, and four times as much in total: the other's callers would
+    see refusals while its rival is served far beyond the share of either.
     """
     random = Random(1)
     level = 400.0
-    asked = {"wide": 8_000.0, "narrow": 1_200.0}
-    fractions = tuple(ShareRow(name, level / rate) for name, rate in asked.items())
+    requested = {"wide": 8_000.0, "narrow": 1_200.0}
+    fractions = tuple(ShareRow(name, level / rate) for name, rate in requested.items())
     gates = [make_share_gate(Random(number)) for number in range(70)]
     reached = {"wide": gates, "narrow": gates[:2]}
     for gate in gates:
         gate.set_fractions(fractions)
     got = {}
-    for name, rate in asked.items():
+    for name, rate in requested.items():
         got[name] = sum(
             random.choice(reached[name]).admits(
-                name, "r", 1_000, lambda: random.random() < room_part
+                name, "r", 1_000, lambda: random.random() < spare_part
             )
             for _ in range(int(6 * rate))
         )
-    assert got["narrow"] >= 0.5 * min(6 * asked["narrow"], got["wide"])
+    assert got["narrow"] >= 0.5 * min(6 * requested["narrow"], got["wide"])
     assert 0.67 < got["wide"] / got["narrow"] < 1.5
-    # And what there is room for is used.
+    # And the spare capacity is used.
     assert min(got.values()) > 6 * level
 
 
-def test_a_customer_that_is_turned_away_at_a_flooded_router_gets_its_share():
-    """All callers of one customer come to one router, whose loop is always late.
+def test_a_customer_that_an_overloaded_router_rejects_gets_its_share():
+    """All callers of one customer use one router, whose event loop is always late.
 
-    While nobody is limited it turns all of them away. Were they not counted, the
-    customer would seem to ask for nothing, never be limited, and get nothing at all.
+    While no customer is limited it rejects all of them. If they were not counted, the
+    customer would seem to request nothing, never be limited, and get nothing at all.
     """
     gates = {"flood": make_share_gate(Random(1)), "rival": make_share_gate(Random(2))}
     table = make_share_table()
@@ -313,7 +318,7 @@
                     got[name] += 1
         rows = sum((gate.rows(now_seconds) for gate in gates.values()), ())
         load = PartialLoad(2, (), rows, 0.0, DECLARED_TOKENS)
-        table.tick((load,), DECLARED_TOKENS, WANTED_WAIT_SECONDS, now_seconds)
+        table.tick((load,), DECLARED_TOKENS, BASE_WAIT_SECONDS, now_seconds)
         for gate in gates.values():
             gate.set_fractions(table.rows())
     assert got["flood"] > 0.8 * got["rival"]
--- a/tests/test_timeliness.py
+++ b/tests/test_timeliness.py
@@ -1,7 +1,7 @@
-"""How much is let in, by what callers see and not by an estimate alone.
+"""Admission follows the timeliness of answers and not the estimated wait alone.
 
-The pattern: engines read faster than routers reckon, or answers begin sooner than the
-estimate says, and callers are refused while engines stand idle.
+The failure: engines read faster than routers estimate, or answers start sooner than the
+estimate says, and callers are refused while engines idle.
 """
 
 import pytest
@@ -10,28 +10,30 @@
 from sesameford.gateway.timeliness import LATE_PART, make_timeliness, wait_factor
 from sesameford.load_messages import CustomerRates, PartialLoad
 
-WANTED_SECONDS = 0.0875
+BASE_WAIT_SECONDS = 0.0875
 TICK_SECONDS = 0.02
 
 
-def test_without_answers_prompts_wait_as_long_as_they_may_at_the_least():
+def test_without_answers_the_wait_limit_is_the_least():
     assert wait_factor(0.0, 0.0, 0.0, 0.0) == 1.0
 
 
-def test_the_fewer_answers_are_late_the_longer_prompts_may_wait():
+def test_the_wait_limit_falls_with_late_answers():
     factors = [wait_factor(1_000.0, 10.0 * late, 1.0, 1.0) for late in range(40)]
     assert factors == sorted(factors, reverse=True)
     assert factors[0] > 2.0
     assert wait_factor(1_000.0, 1_000.0 * LATE_PART * 1.3, 1.0, 1.0) == 1.0
 
 
-def test_in_a_flood_nothing_is_let_in_beyond_shares():
-    """A few customers ask for far more than engines can do, and all others for little.
+def test_the_wait_limit_is_the_least_during_overload():
+    """A few customers request far more than engines can serve, and all others little.
 
-    Whoever asks for little would wait behind what the flood gets beyond its shares.
+    The others would wait behind what is admitted of the overload beyond its shares.
     """
-    calm, busy, flood = (wait_factor(900.0, 20.0, asked, 1.0) for asked in (1, 1.7, 4))
-    assert calm > busy > flood == 1.0
+    calm, busy, overload = (
+        wait_factor(900.0, 20.0, requested, 1.0) for requested in (1, 1.7, 4)
+    )
+    assert calm > busy > overload == 1.0
 
 
 def test_an_answer_counts_by_its_own_objective():
@@ -45,8 +47,8 @@
 
 
 @pytest.mark.parametrize(("late_part", "least", "most"), [(0.0, 1.9, 2.3), (0.3, 1, 1)])
-def test_engines_that_are_in_time_are_let_work_more(late_part, least, most):
-    """Prompts wait as long as they may by the estimate, and no caller notices."""
+def test_the_wait_setpoint_follows_late_answers(late_part, least, most):
+    """The estimated wait is at its limit; the setpoint follows the late answers."""
     table = make_share_table()
     rows = (CustomerRates("club", 1_400_000, 1_400_000),)
     answers = 400.0
@@ -55,10 +57,10 @@
             70,
             (),
             rows,
-            WANTED_SECONDS,
+            BASE_WAIT_SECONDS,
             1_400_000.0,
             in_time_answers=answers * (1 - late_part),
             late_answers=answers * late_part,
         )
-        table.tick([load], 1_000_000.0, WANTED_SECONDS, step * TICK_SECONDS)
-    assert least <= table.wait_setpoint_seconds / WANTED_SECONDS <= most
+        table.tick([load], 1_000_000.0, BASE_WAIT_SECONDS, step * TICK_SECONDS)
+    assert least <= table.wait_setpoint_seconds / BASE_WAIT_SECONDS <= most
