--- a/sesameford/inbox.py
+++ b/sesameford/inbox.py
@@ -88,7 +88,7 @@
                     deps.router.tick()
                 deps.send_target_messages()
             case _:
-                deps.router.scheduler.received(
+                deps.router.scheduler.handle_message(
                     sender_id, incarnation, message, now_seconds
                 )
                 deps.router.wake()
--- a/sesameford/independent.py
+++ b/sesameford/independent.py
@@ -90,7 +90,7 @@
                 attempts.append(attempt)
         return attempts
 
-    def expired(self, now_seconds: float) -> Sequence[str]:
+    def remove_expired(self, now_seconds: float) -> Sequence[str]:
         late = [
             (key, request)
             for key, queue in self._queues.items()
@@ -101,10 +101,12 @@
             self._dequeue(key, request)
         return [request.request_id for _, request in late]
 
-    def progressed(self, attempt_id: str, usage: Usage, now_seconds: float) -> None:
+    def record_progress(
+        self, attempt_id: str, usage: Usage, now_seconds: float
+    ) -> None:
         pass
 
-    def settled(
+    def settle_attempt(
         self, attempt_id: str, usage: Usage, outcome: Outcome, now_seconds: float
     ) -> None:
         ended = self._end(attempt_id)
@@ -118,7 +120,7 @@
             share = self._customer(request.customer_id).share
             self._queues[key].virtual_time += correction / share
 
-    def retried(
+    def requeue_attempt(
         self, attempt_id: str, avoid_target_id: str | None, now_seconds: float
     ) -> None:
         ended = self._end(attempt_id)
@@ -129,12 +131,12 @@
             self._avoid[request.request_id] = avoid_target_id
         self._enqueue(request, front=True)
 
-    def received(
+    def handle_message(
         self, sender_id: str, incarnation: int, message: Message, now_seconds: float
     ) -> None:
         pass
 
-    def outgoing(self, now_seconds: float) -> Sequence[Outgoing]:
+    def collect_outgoing(self, now_seconds: float) -> Sequence[Outgoing]:
         return ()
 
     def waiting_requests(self) -> int:
--- a/sesameford/leased.py
+++ b/sesameford/leased.py
@@ -191,7 +191,7 @@
         """Take a waiting request out; False if it does not wait here any more."""
         return self._state.queues.take(request_id) is not None
 
-    def expired(self, now_seconds: float) -> Sequence[str]:
+    def remove_expired(self, now_seconds: float) -> Sequence[str]:
         """Take out and return the waiting requests whose deadline has passed."""
         return self._state.queues.take_expired(now_seconds)
 
@@ -293,7 +293,9 @@
 
     # --- running attempts --------------------------------------------------------
 
-    def progressed(self, attempt_id: str, usage: Usage, now_seconds: float) -> None:
+    def record_progress(
+        self, attempt_id: str, usage: Usage, now_seconds: float
+    ) -> None:
         """Take the usage so far of a running attempt; may be skipped at will."""
         row = self._state.attempts.get(attempt_id)
         if row is not None:
@@ -301,7 +303,7 @@
             if used > row.charged_cost_units:
                 self._charge(row, used, now_seconds)
 
-    def settled(
+    def settle_attempt(
         self, attempt_id: str, usage: Usage, outcome: Outcome, now_seconds: float
     ) -> None:
         """End an attempt and charge what it used."""
@@ -319,7 +321,7 @@
                 CompletionTotals(1, used, busy_seconds)
             )
 
-    def retried(
+    def requeue_attempt(
         self, attempt_id: str, avoid_target_id: str | None, now_seconds: float
     ) -> None:
         """End an attempt that did not run and queue its request again, in front."""
@@ -348,7 +350,7 @@
 
     # --- messages --------------------------------------------------------------------
 
-    def received(
+    def handle_message(
         self, sender_id: str, incarnation: int, message: Message, now_seconds: float
     ) -> None:
         """Take a message of fair service from another instance."""
@@ -379,7 +381,7 @@
         for limit in grants.limits:
             self._state.limits.set_fraction(limit.customer_id, limit.fraction)
 
-    def outgoing(self, now_seconds: float) -> Sequence[Outgoing]:
+    def collect_outgoing(self, now_seconds: float) -> Sequence[Outgoing]:
         """Return the messages that are due now."""
         if now_seconds - self._followed_at_seconds >= _FOLLOW_SECONDS:
             self._follow(now_seconds)
@@ -400,7 +402,7 @@
                 return
             for one in messages:
                 if one.receiver_id == self._instance_id:
-                    self.received(
+                    self.handle_message(
                         self._instance_id, self._incarnation, one.message, now_seconds
                     )
                 else:
--- a/sesameford/router.py
+++ b/sesameford/router.py
@@ -79,7 +79,9 @@
         """
         self.metrics.retries.inc({"reason": reason})
         self._count_out(attempt)
-        self.scheduler.retried(attempt.attempt_id, attempt.target_id, self._now())
+        self.scheduler.requeue_attempt(
+            attempt.attempt_id, attempt.target_id, self._now()
+        )
         self._retrying.add(request.request_id)
         try:
             return await self._wait(request)
@@ -89,12 +91,12 @@
     def settle(self, attempt: Attempt, usage: Usage, outcome: Outcome) -> None:
         """End an attempt and free its place."""
         self._count_out(attempt)
-        self.scheduler.settled(attempt.attempt_id, usage, outcome, self._now())
+        self.scheduler.settle_attempt(attempt.attempt_id, usage, outcome, self._now())
         self.wake()
 
     def progress(self, attempt: Attempt, usage: Usage) -> None:
         """Tell the scheduler what a running attempt has used so far."""
-        self.scheduler.progressed(attempt.attempt_id, usage, self._now())
+        self.scheduler.record_progress(attempt.attempt_id, usage, self._now())
 
     def running_by_target(self) -> dict[str, int]:
         """Return how many attempts run from here, by target."""
@@ -139,7 +141,7 @@
         self.metrics.usable_targets.set({}, len(self._targets))
         self.metrics.waiting.set({}, self.scheduler.waiting_requests())
         self.metrics.running.set({}, self.scheduler.running_attempts())
-        for request_id in self.scheduler.expired(now_seconds):
+        for request_id in self.scheduler.remove_expired(now_seconds):
             self._refuse(
                 request_id,
                 NotRunError(
@@ -198,5 +200,5 @@
             self._unit_of[attempt.attempt_id] = unit
             self._running[unit] += 1
             waiter.set_result(attempt)
-        for outgoing in self.scheduler.outgoing(now_seconds):
+        for outgoing in self.scheduler.collect_outgoing(now_seconds):
             self._send(outgoing)
--- a/sesameford/scheduler_switch.py
+++ b/sesameford/scheduler_switch.py
@@ -89,21 +89,25 @@
         """See ``Scheduler``."""
         return [self._name_attempt(one) for one in self._present.decide(now_seconds)]
 
-    def expired(self, now_seconds: float) -> Sequence[str]:
+    def remove_expired(self, now_seconds: float) -> Sequence[str]:
         """See ``Scheduler``."""
-        late = [*self._present.expired(now_seconds), *self._unplaced]
+        late = [*self._present.remove_expired(now_seconds), *self._unplaced]
         self._unplaced.clear()
         for request_id in late:
             self._requests.pop(request_id, None)
         return late
 
-    def progressed(self, attempt_id: str, usage: Usage, now_seconds: float) -> None:
+    def record_progress(
+        self, attempt_id: str, usage: Usage, now_seconds: float
+    ) -> None:
         """See ``Scheduler``."""
         began = self._began.get(attempt_id)
         if began is not None:
-            began.scheduler.progressed(began.attempt.attempt_id, usage, now_seconds)
+            began.scheduler.record_progress(
+                began.attempt.attempt_id, usage, now_seconds
+            )
 
-    def settled(
+    def settle_attempt(
         self, attempt_id: str, usage: Usage, outcome: Outcome, now_seconds: float
     ) -> None:
         """See ``Scheduler``."""
@@ -111,9 +115,11 @@
         if began is None:
             return
         self._requests.pop(began.attempt.request_id, None)
-        began.scheduler.settled(began.attempt.attempt_id, usage, outcome, now_seconds)
+        began.scheduler.settle_attempt(
+            began.attempt.attempt_id, usage, outcome, now_seconds
+        )
 
-    def retried(
+    def requeue_attempt(
         self, attempt_id: str, avoid_target_id: str | None, now_seconds: float
     ) -> None:
         """See ``Scheduler``; a request that began before a switch goes to the new."""
@@ -121,19 +127,19 @@
         if began is None:
             return
         scheduler, attempt = began.scheduler, began.attempt
-        scheduler.retried(attempt.attempt_id, avoid_target_id, now_seconds)
+        scheduler.requeue_attempt(attempt.attempt_id, avoid_target_id, now_seconds)
         if scheduler is not self._present:
             self._move(scheduler, attempt.request_id, now_seconds)
 
-    def received(
+    def handle_message(
         self, sender_id: str, incarnation: int, message: Message, now_seconds: float
     ) -> None:
         """See ``Scheduler``."""
-        self._present.received(sender_id, incarnation, message, now_seconds)
+        self._present.handle_message(sender_id, incarnation, message, now_seconds)
 
-    def outgoing(self, now_seconds: float) -> Sequence[Outgoing]:
+    def collect_outgoing(self, now_seconds: float) -> Sequence[Outgoing]:
         """See ``Scheduler``."""
-        return self._present.outgoing(now_seconds)
+        return self._present.collect_outgoing(now_seconds)
 
     def waiting_requests(self) -> int:
         """See ``Scheduler``."""
--- a/sesameford/scheduling.py
+++ b/sesameford/scheduling.py
@@ -42,28 +42,30 @@
     def decide(self, now_seconds: float) -> Sequence[Attempt]:
         """Return the attempts to start now; each counts as in flight at once."""
 
-    def expired(self, now_seconds: float) -> Sequence[str]:
+    def remove_expired(self, now_seconds: float) -> Sequence[str]:
         """Take out and return the waiting requests whose deadline has passed."""
 
-    def progressed(self, attempt_id: str, usage: Usage, now_seconds: float) -> None:
+    def record_progress(
+        self, attempt_id: str, usage: Usage, now_seconds: float
+    ) -> None:
         """Take the usage so far of a running attempt; may be skipped at will."""
 
-    def settled(
+    def settle_attempt(
         self, attempt_id: str, usage: Usage, outcome: Outcome, now_seconds: float
     ) -> None:
         """End an attempt and charge what it used."""
 
-    def retried(
+    def requeue_attempt(
         self, attempt_id: str, avoid_target_id: str | None, now_seconds: float
     ) -> None:
         """End an attempt that did not run and queue its request again, in front."""
 
-    def received(
+    def handle_message(
         self, sender_id: str, incarnation: int, message: Message, now_seconds: float
     ) -> None:
         """Take a message of fair service from another instance."""
 
-    def outgoing(self, now_seconds: float) -> Sequence[Outgoing]:
+    def collect_outgoing(self, now_seconds: float) -> Sequence[Outgoing]:
         """Return the messages that are due now."""
 
     def waiting_requests(self) -> int:
--- a/standins/virtual_fleet.py
+++ b/standins/virtual_fleet.py
@@ -233,11 +233,11 @@
         self._serve()
         for router_id, scheduler in list(self.routers.items()):
             began = process_time()
-            for request_id in scheduler.expired(self.now_seconds):
+            for request_id in scheduler.remove_expired(self.now_seconds):
                 self.waiting[router_id].pop(request_id)
                 self.counted.expired += 1
             attempts = scheduler.decide(self.now_seconds)
-            outgoing = scheduler.outgoing(self.now_seconds)
+            outgoing = scheduler.collect_outgoing(self.now_seconds)
             self.counted.decide_seconds += process_time() - began
             self.counted.decisions += 1
             for attempt in attempts:
@@ -273,7 +273,7 @@
             _, _, sender, receiver, incarnation, message = heappop(self._in_flight)
             if receiver in self.routers:
                 began = process_time()
-                self.routers[receiver].received(
+                self.routers[receiver].handle_message(
                     sender, incarnation, message, self.now_seconds
                 )
                 self.counted.decide_seconds += process_time() - began
@@ -333,13 +333,13 @@
                     done.append(run)
                 elif tells:
                     usage = Usage(output_tokens=int(run.served_cost_units))
-                    self.routers[run.router_id].progressed(
+                    self.routers[run.router_id].record_progress(
                         run.attempt.attempt_id, usage, self.now_seconds
                     )
             for run in done:
                 runs.remove(run)
                 usage = Usage(output_tokens=round(run.cost_units))
-                self.routers[run.router_id].settled(
+                self.routers[run.router_id].settle_attempt(
                     run.attempt.attempt_id, usage, Outcome.RAN, self.now_seconds
                 )
 
--- a/tests/test_scheduler_switch.py
+++ b/tests/test_scheduler_switch.py
@@ -45,7 +45,7 @@
     assert switch.name == "two"
     assert switch.running_attempts() == 1
     assert switch.waiting_requests() == 1
-    switch.settled(running.attempt_id, Usage(output_tokens=5), Outcome.RAN, 2.0)
+    switch.settle_attempt(running.attempt_id, Usage(output_tokens=5), Outcome.RAN, 2.0)
     (moved,) = switch.decide(2.0)
     assert moved.request_id == "waiting"
     assert switch.running_attempts() == 1
@@ -57,7 +57,7 @@
     switch.submit(make_request("refused"), 0.0)
     (attempt,) = switch.decide(0.0)
     switch.configure(tree("two"), 1.0)
-    switch.retried(attempt.attempt_id, None, 1.0)
+    switch.requeue_attempt(attempt.attempt_id, None, 1.0)
     assert switch.waiting_requests() == 1
     assert switch.decide(2.0)[0].request_id == "refused"
 
@@ -75,7 +75,7 @@
     switch.submit(make_request("second"), 1.0)
     (second,) = switch.decide(1.0)
     assert first.attempt_id != second.attempt_id
-    switch.settled(first.attempt_id, Usage(), Outcome.RAN, 2.0)
+    switch.settle_attempt(first.attempt_id, Usage(), Outcome.RAN, 2.0)
     assert switch.running_attempts() == 1
 
 
@@ -92,8 +92,8 @@
     shorter = EffectiveTree(fleet=tree("two").fleet, customers=customers)
     switch.configure(shorter, 1.0)
     assert switch.waiting_requests() == 1
-    assert list(switch.expired(1.0)) == ["second", "third"]
-    assert switch.expired(1.0) == []
+    assert list(switch.remove_expired(1.0)) == ["second", "third"]
+    assert switch.remove_expired(1.0) == []
 
 
 def test_an_unknown_name_leaves_the_present_scheduler_in_force():
