--- a/sesameford/outcomes.py
+++ b/sesameford/outcomes.py
@@ -25,7 +25,7 @@
         self.backoff_seconds = make_backoff(seed)
         self.suspects = Suspects(fleet.quarantine_seconds)
         self.on_targets = OnTargets()
-        self.gates = TargetExclusion()
+        self.target_exclusion = TargetExclusion()
         self.keyed: KeyedRequests | None = None
         self.open_requests = 0
         self.target_deaths = 0
--- a/sesameford/relay.py
+++ b/sesameford/relay.py
@@ -314,7 +314,7 @@
 ) -> None:
     """Wait until the attempt may run: a suspect alone, all others together."""
     digest = call.request.body_digest
-    gates = deps.outcomes.gates
+    gates = deps.outcomes.target_exclusion
     left_seconds = max(history.deadline_at_seconds - deps.now(), 0.0)
     try:
         async with asyncio.timeout(left_seconds):
