--- a/sesameford/account_virtual_times.py
+++ b/sesameford/account_virtual_times.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True)
-class _Known:
+class _ReportedVirtualTime:
     """A customer's virtual time as told, and what of this router is in it."""
 
     virtual_time: float
@@ -19,24 +19,24 @@
     """Virtual times by account; what this router served since is added on reading."""
 
     def __init__(self) -> None:
-        self._known: dict[Account, _Known] = {}
-        self._waited_at_seconds: dict[Account, float] = {}
-        self._news: dict[str, PoolUpdate] = {}
+        self._reported: dict[Account, _ReportedVirtualTime] = {}
+        self._last_waiting_at_seconds: dict[Account, float] = {}
+        self._updates: dict[str, PoolUpdate] = {}
 
     def accounts(self) -> list[Account]:
         """Return the accounts of which something is known."""
-        return list(self._known)
+        return list(self._reported)
 
-    def take(self, news: PoolUpdate) -> None:
+    def apply_update(self, news: PoolUpdate) -> None:
         """Take the allocator's news of a pool."""
-        self._news[news.pool] = news
+        self._updates[news.pool] = news
         for row in news.virtual_times:
-            known = _Known(row.virtual_time, row.counted_cost_units)
-            self._known[(news.pool, row.customer_id)] = known
+            known = _ReportedVirtualTime(row.virtual_time, row.counted_cost_units)
+            self._reported[(news.pool, row.customer_id)] = known
 
     def is_contended(self, pool: str) -> bool:
         """Return whether work waits for a pool's slots somewhere."""
-        news = self._news.get(pool)
+        news = self._updates.get(pool)
         return news is not None and news.contended
 
     def virtual_time(self, account: Account, served: float, share: float) -> float:
@@ -47,18 +47,18 @@
             served: Cost units through this router since its term began.
             share: The customer's weight.
         """
-        known = self._known.get(account)
+        known = self._reported.get(account)
         if known is None:
             start = self._floor(account[0]) or 0.0
-            self._known[account] = _Known(start, served)
+            self._reported[account] = _ReportedVirtualTime(start, served)
             return start
         return known.virtual_time + (served - known.counted_cost_units) / share
 
-    def waits(self, account: Account, now_seconds: float) -> None:
+    def mark_waiting(self, account: Account, now_seconds: float) -> None:
         """Note that an account has waiting work."""
-        self._waited_at_seconds[account] = now_seconds
+        self._last_waiting_at_seconds[account] = now_seconds
 
-    def lift(
+    def raise_to_floor(
         self, account: Account, served: float, share: float, now_seconds: float
     ) -> None:
         """Lift a customer back from idle before the allocator's word arrives.
@@ -66,18 +66,18 @@
         Its last known virtual time is from before it went idle, and a burst would
         run on that credit until the next news.
         """
-        waited_at = self._waited_at_seconds.get(account, float("-inf"))
-        self.waits(account, now_seconds)
+        waited_at = self._last_waiting_at_seconds.get(account, float("-inf"))
+        self.mark_waiting(account, now_seconds)
         floor = self._floor(account[0])
         if floor is None or now_seconds - waited_at <= PATIENCE_SECONDS:
             return
         behind = floor - self.virtual_time(account, served, share)
         if behind > 0.0:
-            self._known[account].virtual_time += behind
+            self._reported[account].virtual_time += behind
 
-    def rebase(self, account: Account, told: float, share: float) -> None:
+    def start_term(self, account: Account, told: float, share: float) -> None:
         """Count from the start of a new term, in which nothing is told yet."""
-        known = self._known.get(account)
+        known = self._reported.get(account)
         if known is not None:
             known.virtual_time += (told - known.counted_cost_units) / share
             known.counted_cost_units = 0.0
@@ -86,4 +86,4 @@
         """Return the smallest virtual time that waits in a pool under contention."""
         if not self.is_contended(pool):
             return None
-        return self._news[pool].floor_virtual_time
+        return self._updates[pool].floor_virtual_time
--- a/sesameford/leased.py
+++ b/sesameford/leased.py
@@ -87,7 +87,7 @@
             present = targets.get(target_id)
             if present is None or present.incarnation != known.incarnation:
                 self._affinity.forget(target_id)
-                self._state.paces.pop(target_id, None)
+                self._state.completion_totals.pop(target_id, None)
         serves = {one.target_id: one.serves for one in targets.values()}
         if serves != self._serves:
             self._serves = serves
@@ -129,7 +129,7 @@
                 self._instance_id,
             ]
             self._allocator.activate(expected, now_seconds)
-            for account in self._state.standings.accounts():
+            for account in self._state.virtual_times.accounts():
                 self._allocator.seed(account, self._virtual_time(account))
         elif not serves and self._allocator.active:
             self._allocator.deactivate()
@@ -154,8 +154,8 @@
                 told = old.reported_served.get(account, 0.0)
                 link.base[account] = old.base.get(account, 0.0) + told
                 share = self._allocator.state.share(account[1])
-                self._state.standings.rebase(account, told, share)
-        self._state.reported_wanted = {}
+                self._state.virtual_times.start_term(account, told, share)
+        self._state.reported_demand_rates = {}
         self._link = link
 
     # --- requests ------------------------------------------------------------------
@@ -178,7 +178,7 @@
         estimate = self._estimates.estimate(request, self._state.tree)
         account = self._account(request)
         share = self._allocator.state.share(customer)
-        self._state.standings.lift(account, self._served(account), share, now_seconds)
+        self._state.virtual_times.raise_to_floor(account, self._served(account), share, now_seconds)
         self._state.queues.put(Waiting(request, estimate))
         self._decided = False
 
@@ -219,7 +219,7 @@
             self._decided = True
         for customer, resource in self._state.queues.queue_keys():
             pool = self._state.pool_of.get(resource, resource)
-            self._state.standings.waits((pool, customer), now_seconds)
+            self._state.virtual_times.mark_waiting((pool, customer), now_seconds)
         return attempts
 
     def _start_all(self, now_seconds: float) -> list[Attempt]:
@@ -289,7 +289,7 @@
     def _virtual_time(self, account: Account) -> float:
         """Return a customer's virtual time with what this router added since."""
         share = self._allocator.state.share(account[1])
-        return self._state.standings.virtual_time(account, self._served(account), share)
+        return self._state.virtual_times.virtual_time(account, self._served(account), share)
 
     # --- running attempts --------------------------------------------------------
 
@@ -316,8 +316,8 @@
             self._estimates.learn(row.request, used)
             busy_seconds = now_seconds - row.attempt.started_at_seconds
             target_id = row.attempt.target_id
-            pace = self._state.paces.get(target_id, CompletionTotals())
-            self._state.paces[target_id] = pace.plus(
+            pace = self._state.completion_totals.get(target_id, CompletionTotals())
+            self._state.completion_totals[target_id] = pace.plus(
                 CompletionTotals(1, used, busy_seconds)
             )
 
@@ -377,7 +377,7 @@
             return
         self._decided = False
         for news in grants.pools:
-            self._state.standings.take(news)
+            self._state.virtual_times.apply_update(news)
         for limit in grants.limits:
             self._state.limits.set_fraction(limit.customer_id, limit.fraction)
 
--- a/sesameford/router_reports.py
+++ b/sesameford/router_reports.py
@@ -59,10 +59,10 @@
         holdings,
         wanted_rows(
             state.limits.wanted(now_seconds, state.queues.requests_of),
-            state.reported_wanted,
+            state.reported_demand_rates,
             full,
         ),
-        link.pace_rows(state.paces),
+        link.pace_rows(state.completion_totals),
     )
 
 
@@ -80,7 +80,7 @@
         return False
     running = {state.pool_of_target(one) for one in state.attempts.by_target}
     return any(
-        not (state.standings.is_contended(pool) and pool in running)
+        not (state.virtual_times.is_contended(pool) and pool in running)
         for pool, _, _ in new
     )
 
@@ -89,7 +89,7 @@
     """Give up the slots that nothing here may use while others wait."""
     for target_id in state.free_slots(link, now_seconds):
         pool = state.pool_of_target(target_id)
-        if pool is not None and state.standings.is_contended(pool):
+        if pool is not None and state.virtual_times.is_contended(pool):
             link.holdings[target_id] = state.attempts.by_target.get(target_id, 0)
 
 
--- a/sesameford/router_state.py
+++ b/sesameford/router_state.py
@@ -24,10 +24,10 @@
     queues: Queues = field(default_factory=Queues)
     limits: Limits = field(default_factory=Limits)
     attempts: Attempts = field(default_factory=Attempts)
-    standings: AccountVirtualTimes = field(default_factory=AccountVirtualTimes)
+    virtual_times: AccountVirtualTimes = field(default_factory=AccountVirtualTimes)
     totals: OwnTotals = field(default_factory=OwnTotals)
-    paces: dict[str, CompletionTotals] = field(default_factory=dict)
-    reported_wanted: dict[str, float] = field(default_factory=dict)
+    completion_totals: dict[str, CompletionTotals] = field(default_factory=dict)
+    reported_demand_rates: dict[str, float] = field(default_factory=dict)
 
     def pool_of_target(self, target_id: str) -> str | None:
         """Return the pool that a target belongs to."""
