--- a/sesameford/accounts.py
+++ b/sesameford/accounts.py
@@ -19,7 +19,7 @@
     incarnation: int
     term: int
 
-    def replaces(self, other: "OriginTerm") -> bool:
+    def is_newer_than(self, other: "OriginTerm") -> bool:
         """Return whether this one began after the other."""
         return (self.incarnation, self.term) > (other.incarnation, other.term)
 
@@ -31,7 +31,7 @@
         self._terms: dict[str, OriginTerm] = {}
         self._totals: dict[str, dict[Account, float]] = {}
 
-    def open(self, origin: str, term: OriginTerm) -> bool:
+    def open_term(self, origin: str, term: OriginTerm) -> bool:
         """Accept a term of an origin.
 
         A restarted origin counts from zero under a new incarnation. Its old
@@ -45,15 +45,15 @@
         Returns:
             False for a term from the past, whose rows must be ignored.
         """
-        known = self._terms.get(origin)
-        if known is not None and known.replaces(term):
+        current = self._terms.get(origin)
+        if current is not None and current.is_newer_than(term):
             return False
-        if known is None or term.replaces(known):
+        if current is None or term.is_newer_than(current):
             self._terms[origin] = term
             self._totals[origin] = {}
         return True
 
-    def merge(self, origin: str, account: Account, total: float) -> float:
+    def merge_total(self, origin: str, account: Account, total: float) -> float:
         """Take a total of the latest report and return what it adds.
 
         Args:
@@ -74,7 +74,7 @@
         """Return what is counted of an origin's service to an account."""
         return self._totals.get(origin, {}).get(account, 0.0)
 
-    def forget(self, origin: str) -> None:
+    def drop_totals(self, origin: str) -> None:
         """Drop an origin's counters, keeping its term as a bar to late reports."""
         if origin in self._totals:
             self._totals[origin] = {}
@@ -94,6 +94,6 @@
         """Return the total since the process started."""
         return self._totals.get(account, 0.0)
 
-    def accounts(self) -> dict[Account, float]:
+    def totals_by_account(self) -> dict[Account, float]:
         """Return all totals; the caller must not change them."""
         return self._totals
--- a/sesameford/admission.py
+++ b/sesameford/admission.py
@@ -41,7 +41,7 @@
     total = queues.total_bytes() + request.body_bytes
     # A flood may fill the room that nobody else uses, and no more: the half that
     # is kept lets each other customer up to an even part of the whole.
-    even = queued_limit_bytes / (queues.customers() + 1)
+    even = queued_limit_bytes / (queues.customer_count() + 1)
     if total > queued_limit_bytes / 2 and queued_bytes > even:
         raise NotRunError(
             "router-full",
--- a/sesameford/affinity.py
+++ b/sesameford/affinity.py
@@ -25,7 +25,7 @@
     def __len__(self) -> int:
         return len(self._targets)
 
-    def sent(self, request: Request, target_id: str) -> None:
+    def record_sent(self, request: Request, target_id: str) -> None:
         """Note that a request goes to a target, which will cache its prefixes."""
         for digest in request.prefix_digests:
             self._targets[digest] = target_id
@@ -33,13 +33,13 @@
         while len(self._targets) > self._max_prefixes:
             self._targets.popitem(last=False)
 
-    def evicted(self, target_id: str, digests: Iterable[int]) -> None:
+    def record_evicted(self, target_id: str, digests: Iterable[int]) -> None:
         """Take a target's news that it dropped prefixes."""
         for digest in digests:
             if self._targets.get(digest) == target_id:
                 del self._targets[digest]
 
-    def forget(self, target_id: str) -> None:
+    def forget_target(self, target_id: str) -> None:
         """Drop all of a target that left or restarted: its cache is empty."""
         gone = [one for one, target in self._targets.items() if target == target_id]
         for digest in gone:
@@ -50,7 +50,7 @@
         targets = self._targets
         return sum(targets.get(one) == target_id for one in request.prefix_digests)
 
-    def choose(
+    def choose_target(
         self,
         request: Request,
         free: dict[str, int],
--- a/sesameford/allocator.py
+++ b/sesameford/allocator.py
@@ -122,7 +122,7 @@
     ) -> None:
         """Start a term with a data centre's allocator."""
         self._term += 1
-        base = dict(self.state.totals.accounts())
+        base = dict(self.state.totals.totals_by_account())
         link = ReportLink(receiver_id, self._term, now_seconds, holdings, base)
         link.requests_full = True
         self.state.places[name] = RemoteAllocator(link)
@@ -144,7 +144,7 @@
         """Take a router's or another allocator's report."""
         state = self.state
         term = OriginTerm(incarnation, report.term)
-        if not self.active or not state.origins.open(sender_id, term):
+        if not self.active or not state.origins.open_term(sender_id, term):
             return
         link = state.links.get(sender_id)
         if link is None or (link.incarnation, link.term) != (incarnation, report.term):
@@ -186,12 +186,12 @@
         for served in rows.served:
             account = (rows.pool, served.customer_id)
             total = served.served_cost_units
-            added = state.origins.merge(link.holder_id, account, total)
+            added = state.origins.merge_total(link.holder_id, account, total)
             times.charge(served.customer_id, added, state.share(served.customer_id))
             if not link.is_place:
                 state.totals.add(account, added)
         if link.is_place and not full and rows.virtual_times:
-            times.meet(self._with_own_service(link, rows))
+            times.converge_towards(self._with_own_service(link, rows))
         if link.is_place:
             link.place_slots[rows.pool] = rows.slots
         link.take_demands(rows.pool, rows.demands, now_seconds)
--- a/sesameford/allocator_state.py
+++ b/sesameford/allocator_state.py
@@ -160,7 +160,7 @@
         elapsed = now_seconds - state.paced_at_seconds
         if elapsed < _PACE_SECONDS:
             return
-        accounts = self.totals.accounts()
+        accounts = self.totals.totals_by_account()
         charged = sum(total for key, total in accounts.items() if key[0] == pool)
         slots = sum(
             held
--- a/sesameford/estimates.py
+++ b/sesameford/estimates.py
@@ -56,7 +56,7 @@
         hinted = min(max(hinted, mean / _HINT_RANGE), mean * _HINT_RANGE)
         return max((1.0 - _HINT_WEIGHT) * mean + _HINT_WEIGHT * hinted, 1e-6)
 
-    def learn(self, request: Request, cost_units: float) -> None:
+    def record_cost(self, request: Request, cost_units: float) -> None:
         """Take what a request did cost."""
         key = (request.customer_id, request.resource)
         row = self._learned.get(key)
--- a/sesameford/leased.py
+++ b/sesameford/leased.py
@@ -23,7 +23,7 @@
 )
 from sesameford.messages import Message, Outgoing
 from sesameford.pools import find_pools
-from sesameford.queues import QueueKey, Waiting
+from sesameford.queues import QueueKey, WaitingRequest
 from sesameford.router_reports import router_report
 from sesameford.router_state import RouterState
 from sesameford.scheduling import Scheduler
@@ -86,7 +86,7 @@
         for target_id, known in self._state.targets.items():
             present = targets.get(target_id)
             if present is None or present.incarnation != known.incarnation:
-                self._affinity.forget(target_id)
+                self._affinity.forget_target(target_id)
                 self._state.completion_totals.pop(target_id, None)
         serves = {one.target_id: one.serves for one in targets.values()}
         if serves != self._serves:
@@ -150,7 +150,7 @@
         if old is not None:
             link.holdings = dict(old.holdings) if old.holds(now_seconds) else {}
             link.lease_expires_at_seconds = old.lease_expires_at_seconds
-            for account in self._state.totals.accounts():
+            for account in self._state.totals.totals_by_account():
                 told = old.reported_served.get(account, 0.0)
                 link.base[account] = old.base.get(account, 0.0) + told
                 share = self._allocator.state.share(account[1])
@@ -178,8 +178,10 @@
         estimate = self._estimates.estimate(request, self._state.tree)
         account = self._account(request)
         share = self._allocator.state.share(customer)
-        self._state.virtual_times.raise_to_floor(account, self._served(account), share, now_seconds)
-        self._state.queues.put(Waiting(request, estimate))
+        self._state.virtual_times.raise_to_floor(
+            account, self._served(account), share, now_seconds
+        )
+        self._state.queues.add(WaitingRequest(request, estimate))
         self._decided = False
 
     def _account(self, request: Request) -> Account:
@@ -189,11 +191,11 @@
 
     def withdraw(self, request_id: str, now_seconds: float) -> bool:
         """Take a waiting request out; False if it does not wait here any more."""
-        return self._state.queues.take(request_id) is not None
+        return self._state.queues.remove(request_id) is not None
 
     def remove_expired(self, now_seconds: float) -> Sequence[str]:
         """Take out and return the waiting requests whose deadline has passed."""
-        return self._state.queues.take_expired(now_seconds)
+        return self._state.queues.remove_expired(now_seconds)
 
     def waiting_requests(self) -> int:
         """Return how many requests wait here."""
@@ -258,9 +260,11 @@
         assert head is not None
         request = head.request
         serving = [one for one in free if key[1] in self._state.targets[one].serves]
-        target_id = self._affinity.choose(request, free, serving, head.avoid_target_id)
-        self._affinity.sent(request, target_id)
-        self._state.queues.take(request.request_id)
+        target_id = self._affinity.choose_target(
+            request, free, serving, head.avoid_target_id
+        )
+        self._affinity.record_sent(request, target_id)
+        self._state.queues.remove(request.request_id)
         free[target_id] -= 1
         if free[target_id] == 0:
             del free[target_id]
@@ -278,7 +282,7 @@
         row = RunningAttempt(attempt, request, account, head.estimated_cost_units)
         self._state.attempts.start(row, now_seconds)
         self._state.totals.add(account, head.estimated_cost_units)
-        self._state.limits.started(key[0], head.estimated_cost_units, now_seconds)
+        self._state.limits.record_start(key[0], head.estimated_cost_units, now_seconds)
         return attempt
 
     def _served(self, account: Account) -> float:
@@ -289,7 +293,9 @@
     def _virtual_time(self, account: Account) -> float:
         """Return a customer's virtual time with what this router added since."""
         share = self._allocator.state.share(account[1])
-        return self._state.virtual_times.virtual_time(account, self._served(account), share)
+        return self._state.virtual_times.virtual_time(
+            account, self._served(account), share
+        )
 
     # --- running attempts --------------------------------------------------------
 
@@ -313,7 +319,7 @@
         used = cost_of_usage(self._state.tree, row.request, usage)
         self._charge(row, used, now_seconds)
         if outcome is Outcome.RAN:
-            self._estimates.learn(row.request, used)
+            self._estimates.record_cost(row.request, used)
             busy_seconds = now_seconds - row.attempt.started_at_seconds
             target_id = row.attempt.target_id
             pace = self._state.completion_totals.get(target_id, CompletionTotals())
@@ -330,14 +336,14 @@
             return
         self._charge(row, 0.0, now_seconds)
         estimate = row.attempt.estimated_cost_units
-        waiting = Waiting(row.request, estimate, avoid_target_id)
-        self._state.queues.put(waiting, in_front=True)
+        waiting = WaitingRequest(row.request, estimate, avoid_target_id)
+        self._state.queues.add(waiting, in_front=True)
 
     def _end(self, attempt_id: str) -> RunningAttempt | None:
         """Take a running attempt out and free its slot."""
         row = self._state.attempts.end(attempt_id)
         if row is not None:
-            self._state.limits.ended(row.account[1])
+            self._state.limits.record_end(row.account[1])
             self._decided = False
         return row
 
@@ -346,7 +352,7 @@
         change = used - row.charged_cost_units
         row.charged_cost_units = used
         self._state.totals.add(row.account, change)
-        self._state.limits.charged(row.account[1], change, now_seconds)
+        self._state.limits.record_cost(row.account[1], change, now_seconds)
 
     # --- messages --------------------------------------------------------------------
 
--- a/sesameford/limits.py
+++ b/sesameford/limits.py
@@ -14,19 +14,19 @@
 from sesameford.errors import NotRunError
 
 _BURST_SECONDS = 1.0
-_WANTED_DECAY_SECONDS = 2.0
-_TOO_MANY_REQUESTS = 429
+_DEMAND_HALF_LIFE_SECONDS = 2.0
+_TOO_MANY_REQUESTS_STATUS = 429
 
 
 @dataclass(slots=True)
-class _Usage:
+class _CustomerBuckets:
     """Token buckets of one customer at one router, and its demand."""
 
     requests_left: float
     cost_units_left: float
     filled_at_seconds: float
-    wanted: float = 0.0
-    wanted_at_seconds: float = 0.0
+    demand: float = 0.0
+    demand_at_seconds: float = 0.0
 
 
 class Limits:
@@ -36,7 +36,7 @@
         self._settings: dict[str, LimitSettings] = {}
         self._fractions: dict[str, float] = {}
         self._default_fraction = 1.0
-        self._usage: dict[str, _Usage] = {}
+        self._buckets: dict[str, _CustomerBuckets] = {}
         self._running: dict[str, int] = {}
 
     def configure(self, settings: dict[str, LimitSettings]) -> None:
@@ -55,13 +55,13 @@
         """Return this router's fraction of a customer's limits."""
         return self._fractions.get(customer_id, self._default_fraction)
 
-    def of(self, customer_id: str) -> LimitSettings:
+    def limits_of(self, customer_id: str) -> LimitSettings:
         """Return a customer's limits over the whole fleet."""
         return self._settings.get(customer_id) or LimitSettings()
 
-    def is_rated(self, customer_id: str) -> bool:
+    def has_split_limit(self, customer_id: str) -> bool:
         """Return whether a customer has a limit that is split over routers."""
-        limits = self.of(customer_id)
+        limits = self.limits_of(customer_id)
         return (
             limits.requests_per_second is not None
             or limits.cost_units_per_second is not None
@@ -74,24 +74,26 @@
         Raises:
             NotRunError: The limit is reached; it says when the next fits.
         """
-        if not self.is_rated(customer_id):
+        if not self.has_split_limit(customer_id):
             return
-        usage = self._fill(customer_id, now_seconds)
-        decay = 0.5 ** ((now_seconds - usage.wanted_at_seconds) / _WANTED_DECAY_SECONDS)
-        usage.wanted = usage.wanted * decay + 1.0
-        usage.wanted_at_seconds = now_seconds
-        rate = self.of(customer_id).requests_per_second
+        buckets = self._fill(customer_id, now_seconds)
+        decay = 0.5 ** (
+            (now_seconds - buckets.demand_at_seconds) / _DEMAND_HALF_LIFE_SECONDS
+        )
+        buckets.demand = buckets.demand * decay + 1.0
+        buckets.demand_at_seconds = now_seconds
+        rate = self.limits_of(customer_id).requests_per_second
         if rate is None:
             return
-        if usage.requests_left < 1.0:
+        if buckets.requests_left < 1.0:
             share = max(rate * self.fraction(customer_id), 1e-3)
             raise NotRunError(
                 "rate-limit",
                 f"The customer is limited to {rate:g} requests a second.",
-                _TOO_MANY_REQUESTS,
-                (1.0 - usage.requests_left) / share,
+                _TOO_MANY_REQUESTS_STATUS,
+                (1.0 - buckets.requests_left) / share,
             )
-        usage.requests_left -= 1.0
+        buckets.requests_left -= 1.0
 
     def may_start(self, customer_id: str, now_seconds: float) -> bool:
         """Return whether cost rate and concurrency allow one more to start."""
@@ -107,17 +109,21 @@
             return True
         return self._fill(customer_id, now_seconds).cost_units_left > 0.0
 
-    def started(self, customer_id: str, cost_units: float, now_seconds: float) -> None:
+    def record_start(
+        self, customer_id: str, cost_units: float, now_seconds: float
+    ) -> None:
         """Count a request that starts at its estimated cost."""
         self._running[customer_id] = self._running.get(customer_id, 0) + 1
-        self.charged(customer_id, cost_units, now_seconds)
+        self.record_cost(customer_id, cost_units, now_seconds)
 
-    def charged(self, customer_id: str, cost_units: float, now_seconds: float) -> None:
+    def record_cost(
+        self, customer_id: str, cost_units: float, now_seconds: float
+    ) -> None:
         """Count cost beyond the estimate, or give back below it."""
-        if self.of(customer_id).cost_units_per_second is not None:
+        if self.limits_of(customer_id).cost_units_per_second is not None:
             self._fill(customer_id, now_seconds).cost_units_left -= cost_units
 
-    def ended(self, customer_id: str) -> None:
+    def record_end(self, customer_id: str) -> None:
         """Count a request that ended."""
         left = self._running.get(customer_id, 0) - 1
         if left > 0:
@@ -125,7 +131,7 @@
         else:
             self._running.pop(customer_id, None)
 
-    def wanted(
+    def demand_rates(
         self,
         now_seconds: float,
         waiting_requests: Callable[[str], int] = lambda customer_id: 0,
@@ -141,37 +147,37 @@
             waiting_requests: How many of a customer's requests wait here.
         """
         rates = {}
-        for customer, usage in self._usage.items():
+        for customer, buckets in self._buckets.items():
             decay = 0.5 ** (
-                (now_seconds - usage.wanted_at_seconds) / _WANTED_DECAY_SECONDS
+                (now_seconds - buckets.demand_at_seconds) / _DEMAND_HALF_LIFE_SECONDS
             )
             standing = waiting_requests(customer) + self._running.get(customer, 0)
-            wanted = max(usage.wanted * decay, standing)
-            rates[customer] = wanted / (_WANTED_DECAY_SECONDS * 1.44)
+            wanted = max(buckets.demand * decay, standing)
+            rates[customer] = wanted / (_DEMAND_HALF_LIFE_SECONDS * 1.44)
         return rates
 
-    def _fill(self, customer_id: str, now_seconds: float) -> _Usage:
+    def _fill(self, customer_id: str, now_seconds: float) -> _CustomerBuckets:
         """Return a customer's buckets, filled up to now."""
-        limits = self.of(customer_id)
+        limits = self.limits_of(customer_id)
         fraction = self.fraction(customer_id)
         request_rate = (limits.requests_per_second or 0.0) * fraction
         cost_rate = (limits.cost_units_per_second or 0.0) * fraction
         request_burst = max(request_rate * _BURST_SECONDS, 1.0)
         cost_burst = cost_rate * _BURST_SECONDS
-        usage = self._usage.get(customer_id)
-        if usage is None:
-            usage = _Usage(request_burst, cost_burst, now_seconds)
-            usage.wanted_at_seconds = now_seconds
-            self._usage[customer_id] = usage
-        elapsed = max(now_seconds - usage.filled_at_seconds, 0.0)
-        usage.requests_left = min(
-            usage.requests_left + elapsed * request_rate, request_burst
+        buckets = self._buckets.get(customer_id)
+        if buckets is None:
+            buckets = _CustomerBuckets(request_burst, cost_burst, now_seconds)
+            buckets.demand_at_seconds = now_seconds
+            self._buckets[customer_id] = buckets
+        elapsed = max(now_seconds - buckets.filled_at_seconds, 0.0)
+        buckets.requests_left = min(
+            buckets.requests_left + elapsed * request_rate, request_burst
         )
-        usage.cost_units_left = min(
-            usage.cost_units_left + elapsed * cost_rate, cost_burst
+        buckets.cost_units_left = min(
+            buckets.cost_units_left + elapsed * cost_rate, cost_burst
         )
-        usage.filled_at_seconds = now_seconds
-        return usage
+        buckets.filled_at_seconds = now_seconds
+        return buckets
 
 
 def concurrency_share(concurrent_requests: int, fraction: float) -> int:
--- a/sesameford/place_reports.py
+++ b/sesameford/place_reports.py
@@ -98,7 +98,7 @@
         # comparison would take back half of what is still to be reported.
         threshold = 0.0
     pools = pool_reports(
-        link.served_rows(state.totals.accounts(), threshold),
+        link.served_rows(state.totals.totals_by_account(), threshold),
         link.demand_rows(demands, _EXACT_REQUESTS, now_seconds),
     )
     rows = _with_pool_rows(state, place, pools, full, now_seconds)
--- a/sesameford/queues.py
+++ b/sesameford/queues.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting:
+class WaitingRequest:
     """A request in a queue and the target that a new attempt should avoid."""
 
     request: Request
@@ -29,8 +29,8 @@
     """All waiting requests of a router."""
 
     def __init__(self) -> None:
-        self._queues: dict[QueueKey, deque[Waiting]] = {}
-        self._waiting: dict[str, Waiting] = {}
+        self._queues: dict[QueueKey, deque[WaitingRequest]] = {}
+        self._waiting: dict[str, WaitingRequest] = {}
         self._deadlines: list[tuple[float, str]] = []
         self._cost_units: dict[QueueKey, float] = {}
         self._requests: dict[str, int] = {}
@@ -59,7 +59,7 @@
         """Return how many body bytes of a customer wait."""
         return self._bytes.get(customer_id, 0)
 
-    def customers(self) -> int:
+    def customer_count(self) -> int:
         """Return how many customers have waiting requests."""
         return len(self._requests)
 
@@ -71,12 +71,12 @@
         """Return the estimated cost that waits in a queue."""
         return max(self._cost_units.get(key, 0.0), 0.0)
 
-    def head(self, key: QueueKey) -> Waiting | None:
+    def head(self, key: QueueKey) -> WaitingRequest | None:
         """Return the request that is next in a queue."""
         queue = self._queues.get(key)
         return queue[0] if queue else None
 
-    def put(self, waiting: Waiting, in_front: bool = False) -> None:
+    def add(self, waiting: WaitingRequest, in_front: bool = False) -> None:
         """Queue a request; bounds are the caller's to check first."""
         request = waiting.request
         key = (request.customer_id, request.resource)
@@ -87,9 +87,9 @@
             queue.append(waiting)
         self._waiting[request.request_id] = waiting
         heappush(self._deadlines, (request.deadline_seconds, request.request_id))
-        self._count(waiting, 1)
+        self._update_counts(waiting, 1)
 
-    def take(self, request_id: str) -> Waiting | None:
+    def remove(self, request_id: str) -> WaitingRequest | None:
         """Take a request out, wherever it stands; None if it is not here."""
         waiting = self._waiting.pop(request_id, None)
         if waiting is None:
@@ -102,21 +102,21 @@
             queue.remove(waiting)
         if not queue:
             del self._queues[key]
-        self._count(waiting, -1)
+        self._update_counts(waiting, -1)
         return waiting
 
-    def take_expired(self, now_seconds: float) -> list[str]:
+    def remove_expired(self, now_seconds: float) -> list[str]:
         """Take out and return the requests whose deadline has passed."""
         expired = []
         while self._deadlines and self._deadlines[0][0] <= now_seconds:
             _, request_id = heappop(self._deadlines)
             waiting = self._waiting.get(request_id)
             if waiting and waiting.request.deadline_seconds <= now_seconds:
-                self.take(request_id)
+                self.remove(request_id)
                 expired.append(request_id)
         return expired
 
-    def _count(self, waiting: Waiting, sign: int) -> None:
+    def _update_counts(self, waiting: WaitingRequest, sign: int) -> None:
         """Keep the sums beside the queues."""
         request = waiting.request
         customer = request.customer_id
--- a/sesameford/router_reports.py
+++ b/sesameford/router_reports.py
@@ -43,7 +43,7 @@
     full = link.full_due
     threshold = SERVED_THRESHOLD_QUANTA * state.tree.fleet.quantum_cost_units
     pools = pool_reports(
-        link.served_rows(state.totals.accounts(), threshold),
+        link.served_rows(state.totals.totals_by_account(), threshold),
         link.demand_rows(demands, _EXACT_REQUESTS, now_seconds),
     )
     holdings = tuple(link.holding_rows(state.attempts.by_target))
@@ -58,7 +58,7 @@
         tuple(pools.values()),
         holdings,
         wanted_rows(
-            state.limits.wanted(now_seconds, state.queues.requests_of),
+            state.limits.demand_rates(now_seconds, state.queues.requests_of),
             state.reported_demand_rates,
             full,
         ),
--- a/sesameford/virtual_time.py
+++ b/sesameford/virtual_time.py
@@ -30,25 +30,25 @@
     def __init__(self, patience_seconds: float, debt_limit: float) -> None:
         self._patience_seconds = patience_seconds
         self.debt_limit = debt_limit
-        self._standings: dict[str, CustomerVirtualTime] = {}
+        self._customers: dict[str, CustomerVirtualTime] = {}
 
     def __len__(self) -> int:
-        return len(self._standings)
+        return len(self._customers)
 
     def customers(self) -> Iterable[str]:
-        """Return the customers that have a standing."""
-        return self._standings.keys()
+        """Return the customers that have a entry."""
+        return self._customers.keys()
 
-    def standing(self, customer_id: str) -> CustomerVirtualTime:
-        """Return a customer's standing, made when it is new."""
-        standing = self._standings.get(customer_id)
-        if standing is None:
-            standing = self._standings[customer_id] = CustomerVirtualTime()
-        return standing
+    def customer(self, customer_id: str) -> CustomerVirtualTime:
+        """Return a customer's entry, made when it is new."""
+        entry = self._customers.get(customer_id)
+        if entry is None:
+            entry = self._customers[customer_id] = CustomerVirtualTime()
+        return entry
 
     def virtual_time(self, customer_id: str) -> float:
         """Return a customer's virtual time."""
-        return self.standing(customer_id).virtual_time
+        return self.customer(customer_id).virtual_time
 
     def charge(self, customer_id: str, cost_units: float, share: float) -> None:
         """Count service.
@@ -56,14 +56,14 @@
         Increments are divided by the share in force when they are counted, so a
         change of shares bends a virtual time but never makes it jump.
         """
-        self.standing(customer_id).virtual_time += cost_units / share
+        self.customer(customer_id).virtual_time += cost_units / share
 
     def merge_snapshot(self, customer_id: str, virtual_time: float) -> None:
         """Take a virtual time from an instance that has counted for longer."""
-        standing = self.standing(customer_id)
-        standing.virtual_time = max(standing.virtual_time, virtual_time)
+        entry = self.customer(customer_id)
+        entry.virtual_time = max(entry.virtual_time, virtual_time)
 
-    def meet(self, others: Mapping[str, float]) -> None:
+    def converge_towards(self, others: Mapping[str, float]) -> None:
         """Come half-way towards another allocator's virtual times.
 
         Only differences between customers matter, so what all have in common is
@@ -73,15 +73,15 @@
             others: Virtual times of customers that wait, by customer.
         """
         apart = {
-            customer: virtual_time - self._standings[customer].virtual_time
+            customer: virtual_time - self._customers[customer].virtual_time
             for customer, virtual_time in others.items()
-            if customer in self._standings
+            if customer in self._customers
         }
         if len(apart) < 2:
             return
         common = sum(apart.values()) / len(apart)
         for customer, difference in apart.items():
-            self._standings[customer].virtual_time += (difference - common) / 2.0
+            self._customers[customer].virtual_time += (difference - common) / 2.0
 
     def mark_backlogged(
         self, waiting_since: Mapping[str, float], now_seconds: float
@@ -107,31 +107,31 @@
         steady: list[CustomerVirtualTime] = []
         brief: list[CustomerVirtualTime] = []
         for customer, since in waiting_since.items():
-            standing = self.standing(customer)
-            standing.backlogged_at_seconds = now_seconds
-            (brief if since > patient else steady).append(standing)
+            entry = self.customer(customer)
+            entry.backlogged_at_seconds = now_seconds
+            (brief if since > patient else steady).append(entry)
         if not steady:
             # Nobody had to wait for others, so nobody owes anybody: all start
             # level with the furthest.
-            start = self._furthest()
-            for standing in brief:
-                standing.virtual_time = start
+            start = self._largest()
+            for entry in brief:
+                entry.virtual_time = start
             return None
-        times = [standing.virtual_time for standing in steady]
+        times = [entry.virtual_time for entry in steady]
         floor = min(times)
         # Around the mean: one that lags would else pull all others down to it, and
         # what they owe each other would be forgotten.
         middle = sum(times) / len(times)
-        for standing in steady:
-            self._move(standing, middle - self.debt_limit, middle + self.debt_limit)
-        for standing in brief:
-            self._move(standing, floor, middle + self.debt_limit)
+        for entry in steady:
+            self._clamp(entry, middle - self.debt_limit, middle + self.debt_limit)
+        for entry in brief:
+            self._clamp(entry, floor, middle + self.debt_limit)
         return floor
 
-    def _furthest(self) -> float:
+    def _largest(self) -> float:
         """Return the largest virtual time."""
-        return max(standing.virtual_time for standing in self._standings.values())
+        return max(entry.virtual_time for entry in self._customers.values())
 
-    def _move(self, standing: CustomerVirtualTime, low: float, high: float) -> None:
+    def _clamp(self, entry: CustomerVirtualTime, low: float, high: float) -> None:
         """Adjust a virtual time into a range."""
-        standing.virtual_time = min(max(standing.virtual_time, low), high)
+        entry.virtual_time = min(max(entry.virtual_time, low), high)
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -17,11 +17,11 @@
     """
     totals = OriginTotals()
     old, new = OriginTerm(1, 1), OriginTerm(2, 1)
-    assert totals.open("r", old)
-    assert totals.merge("r", ACCOUNT, 100.0) == 100.0
-    assert totals.open("r", new)
-    assert totals.merge("r", ACCOUNT, 30.0) == 30.0
-    assert not totals.open("r", old)
+    assert totals.open_term("r", old)
+    assert totals.merge_total("r", ACCOUNT, 100.0) == 100.0
+    assert totals.open_term("r", new)
+    assert totals.merge_total("r", ACCOUNT, 30.0) == 30.0
+    assert not totals.open_term("r", old)
 
 
 @settings(derandomize=True, max_examples=150)
@@ -38,11 +38,11 @@
         reports.append(ShareReport(1, number, 0, pools=rows))
     link = GrantLink("r", "", 1, 1, 0.0, 0.0)
     totals = OriginTotals()
-    totals.open("r", OriginTerm(1, 1))
+    totals.open_term("r", OriginTerm(1, 1))
     counted = 0.0
     order = [reports[index % len(reports)] for index in deliveries]
     for report in [*order, reports[-1], *order]:
         if link.accept(report, 0.0):
             served = report.pools[0].served[0]
-            counted += totals.merge("r", ACCOUNT, served.served_cost_units)
+            counted += totals.merge_total("r", ACCOUNT, served.served_cost_units)
     assert abs(counted - total) < 1e-6
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -23,13 +23,13 @@
 
 def test_the_longest_cached_prefix_wins_and_a_missing_target_is_given_up():
     affinity = Affinity()
-    affinity.sent(make_request((1, 2)), "t1")
-    affinity.sent(make_request((9,)), "t2")
+    affinity.record_sent(make_request((1, 2)), "t1")
+    affinity.record_sent(make_request((9,)), "t2")
     request = make_request((1, 2, 3))
     both = {"t1": 1, "t2": 5}
-    assert affinity.choose(request, both, ["t1", "t2"], None) == "t1"
-    assert affinity.choose(request, both, ["t1", "t2"], "t1") == "t2"
-    assert affinity.choose(request, {"t2": 5}, ["t2"], None) == "t2"
+    assert affinity.choose_target(request, both, ["t1", "t2"], None) == "t1"
+    assert affinity.choose_target(request, both, ["t1", "t2"], "t1") == "t2"
+    assert affinity.choose_target(request, {"t2": 5}, ["t2"], None) == "t2"
 
 
 def test_late_news_of_an_eviction_does_not_undo_a_newer_sending():
@@ -38,16 +38,16 @@
     Taken as it comes, the news would send the next request to a cold cache.
     """
     affinity = Affinity()
-    affinity.sent(make_request((1,)), "t1")
-    affinity.sent(make_request((1,)), "t2")
-    affinity.evicted("t1", [1])
+    affinity.record_sent(make_request((1,)), "t1")
+    affinity.record_sent(make_request((1,)), "t2")
+    affinity.record_evicted("t1", [1])
     assert affinity.cached_prefixes(make_request((1,)), "t2") == 1
-    affinity.forget("t2")
+    affinity.forget_target("t2")
     assert len(affinity) == 0
 
 
 def test_the_memory_is_bounded():
     affinity = Affinity(max_prefixes=10)
     for number in range(100):
-        affinity.sent(make_request((number,)), "t1")
+        affinity.record_sent(make_request((number,)), "t1")
     assert len(affinity) == 10
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -16,7 +16,7 @@
 def test_a_customer_gains_nothing_by_wrong_hints(wrong):
     estimates = Estimates()
     for _ in range(40):
-        estimates.learn(make_request(100.0 * wrong), 100.0)
+        estimates.record_cost(make_request(100.0 * wrong), 100.0)
     estimate = estimates.estimate(make_request(100.0 * wrong), EffectiveTree())
     assert estimate == pytest.approx(100.0, rel=0.15)
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -61,8 +61,8 @@
     limits.configure({"c": LimitSettings(concurrent_requests=2)})
     for _ in range(40):
         limits.admit("c", 0.0)
-    limits.started("c", 1.0, 0.0)
-    fresh = limits.wanted(0.0, lambda customer: 39)["c"]
-    assert limits.wanted(60.0, lambda customer: 39)["c"] == pytest.approx(fresh)
-    limits.ended("c")
-    assert limits.wanted(60.0, lambda customer: 0)["c"] < 0.01 * fresh
+    limits.record_start("c", 1.0, 0.0)
+    fresh = limits.demand_rates(0.0, lambda customer: 39)["c"]
+    assert limits.demand_rates(60.0, lambda customer: 39)["c"] == pytest.approx(fresh)
+    limits.record_end("c")
+    assert limits.demand_rates(60.0, lambda customer: 0)["c"] < 0.01 * fresh
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -10,7 +10,7 @@
 )
 from sesameford.errors import NotRunError
 from sesameford.leased import make_leased_scheduler
-from sesameford.queues import Queues, Waiting
+from sesameford.queues import Queues, WaitingRequest
 from sesameford.tables import Request, TargetKind
 
 KIND = TargetKind.MODEL
@@ -36,8 +36,8 @@
     queues = Queues()
     for number in range(5):
         request = make_request(number, "c", deadline_seconds=10.0 - number)
-        queues.put(Waiting(request, 1.0))
-    assert queues.take_expired(8.0) == ["c4", "c3", "c2"]
+        queues.add(WaitingRequest(request, 1.0))
+    assert queues.remove_expired(8.0) == ["c4", "c3", "c2"]
     assert len(queues) == 2
     assert queues.total_bytes() == 200
 
--- a/tests/test_virtual_time.py
+++ b/tests/test_virtual_time.py
@@ -35,5 +35,5 @@
         times.charge("a", 100.0 + ahead, 1.0)
         times.charge("b", 200.0 + ahead, 1.0)
     other.charge("b", 40.0, 1.0)
-    one.meet({name: other.virtual_time(name) for name in ("a", "b")})
+    one.converge_towards({name: other.virtual_time(name) for name in ("a", "b")})
     assert one.virtual_time("b") - one.virtual_time("a") == 120.0
