--- a/sesameford/router_reports.py
+++ b/sesameford/router_reports.py
@@ -1,4 +1,4 @@
-"""A router's reports to its allocator: what it served, what waits, what it gives up."""
+"""A router's reports to its allocator: service, waiting work and returned slots."""
 
 from sesameford.links import (
     COALESCE_SECONDS,
@@ -15,21 +15,22 @@
 _EXACT_REQUESTS = 8
 
 
-def router_report(
-    state: RouterState, link: ReportLink, inner: bool, now_seconds: float
+def make_router_report(
+    state: RouterState, link: ReportLink, is_own_allocator: bool, now_seconds: float
 ) -> ShareReport | None:
     """Return the report that is due, or None.
 
     Args:
         state: The router's tables, after a decision.
         link: The router's end of the link to its allocator.
-        inner: Whether the allocator is this instance, so that nothing is sent.
+        is_own_allocator: Whether this instance is the allocator, so that the report
+            causes no traffic.
         now_seconds: The present time.
     """
-    since = now_seconds - link.sent_at_seconds
-    if since < COALESCE_SECONDS and not inner:
+    since_seconds = now_seconds - link.sent_at_seconds
+    if since_seconds < COALESCE_SECONDS and not is_own_allocator:
         return None
-    _return_idle(state, link, now_seconds)
+    _return_idle_slots(state, link, now_seconds)
     demands = _demands(state, now_seconds)
     urgent = (
         link.returns_slots(state.attempts.by_target)
@@ -38,7 +39,7 @@
         or link.is_pressed(now_seconds)
         or link.requests_full
     )
-    if not urgent and since < HEARTBEAT_SECONDS:
+    if not urgent and since_seconds < HEARTBEAT_SECONDS:
         return None
     full = link.full_due
     threshold = SERVED_THRESHOLD_QUANTA * state.tree.fleet.quantum_cost_units
@@ -69,24 +70,27 @@
 def _demand_is_urgent(
     state: RouterState, link: ReportLink, demands: dict[DemandKey, Demand]
 ) -> bool:
-    """Return whether new waiting work can't wait for the next report.
+    """Return whether new waiting work must be reported before the next heartbeat.
 
-    Under contention a slot that runs here will be free soon, and a short wait
-    joins the news. With none that runs nothing here would ever start: the word
-    of contention outlasts it, and a free slot elsewhere may be had at once.
+    Under contention, a running slot of the pool becomes free here soon, so the
+    demand can wait for the next report. Without a running slot the work would never
+    start here: the pool stays marked as contended, while a free slot elsewhere
+    may be available at once.
     """
     new = [key for key in demands if key not in link.reported_demands]
     if not new:
         return False
-    running = {state.pool_of_target(one) for one in state.attempts.by_target}
+    running = {state.pool_of_target(target) for target in state.attempts.by_target}
     return any(
         not (state.virtual_times.is_contended(pool) and pool in running)
         for pool, _, _ in new
     )
 
 
-def _return_idle(state: RouterState, link: ReportLink, now_seconds: float) -> None:
-    """Give up the slots that nothing here may use while others wait."""
+def _return_idle_slots(
+    state: RouterState, link: ReportLink, now_seconds: float
+) -> None:
+    """Return idle slots of contended pools to the allocator."""
     for target_id in state.free_slots(link, now_seconds):
         pool = state.pool_of_target(target_id)
         if pool is not None and state.virtual_times.is_contended(pool):
@@ -94,7 +98,7 @@
 
 
 def _demands(state: RouterState, now_seconds: float) -> dict[DemandKey, Demand]:
-    """Return what waits here and may start."""
+    """Return the waiting work of each queue whose customer's limits allow a start."""
     demands = {}
     for key in state.queues.queue_keys():
         pool = state.pool_of.get(key[1])
--- a/sesameford/router_state.py
+++ b/sesameford/router_state.py
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class RouterState:
-    """What waits, what runs, what was served and what is known of the fleet."""
+    """A router's queues, running attempts and service, and its view of the fleet."""
 
     tree: EffectiveTree = field(default_factory=EffectiveTree)
     targets: Mapping[str, Target] = field(default_factory=dict)
@@ -35,7 +35,7 @@
         return self.pool_of.get(target.serves[0]) if target and target.serves else None
 
     def free_slots(self, link: ReportLink, now_seconds: float) -> dict[str, int]:
-        """Return by target the slots held here that nothing runs on."""
+        """Return the number of held slots without an attempt, by target."""
         if not link.holds(now_seconds):
             return {}
         free = {}
