--- a/sesameford/account_virtual_times.py
+++ b/sesameford/account_virtual_times.py
@@ -1,4 +1,4 @@
-"""What a router knows of its customers' virtual times, between the allocator's news."""
+"""A router's view of its customers' virtual times between the allocator's updates."""
 
 from dataclasses import dataclass
 
@@ -9,14 +9,17 @@
 
 @dataclass(slots=True)
 class _ReportedVirtualTime:
-    """A customer's virtual time as told, and what of this router is in it."""
+    """A customer's virtual time as reported by the allocator.
+
+    ``counted_cost_units`` is this router's service that it includes.
+    """
 
     virtual_time: float
     counted_cost_units: float
 
 
 class AccountVirtualTimes:
-    """Virtual times by account; what this router served since is added on reading."""
+    """Virtual times by account; reading one adds this router's service since."""
 
     def __init__(self) -> None:
         self._reported: dict[Account, _ReportedVirtualTime] = {}
@@ -24,47 +27,47 @@
         self._updates: dict[str, PoolUpdate] = {}
 
     def accounts(self) -> list[Account]:
-        """Return the accounts of which something is known."""
+        """Return the accounts that have a virtual time."""
         return list(self._reported)
 
-    def apply_update(self, news: PoolUpdate) -> None:
-        """Take the allocator's news of a pool."""
-        self._updates[news.pool] = news
-        for row in news.virtual_times:
-            known = _ReportedVirtualTime(row.virtual_time, row.counted_cost_units)
-            self._reported[(news.pool, row.customer_id)] = known
+    def apply_update(self, update: PoolUpdate) -> None:
+        """Apply the allocator's update of a pool."""
+        self._updates[update.pool] = update
+        for row in update.virtual_times:
+            reported = _ReportedVirtualTime(row.virtual_time, row.counted_cost_units)
+            self._reported[(update.pool, row.customer_id)] = reported
 
     def is_contended(self, pool: str) -> bool:
-        """Return whether work waits for a pool's slots somewhere."""
-        news = self._updates.get(pool)
-        return news is not None and news.contended
+        """Return whether work waits for a pool's slots at any router."""
+        update = self._updates.get(pool)
+        return update is not None and update.contended
 
     def virtual_time(self, account: Account, served: float, share: float) -> float:
         """Return an account's virtual time.
 
         Args:
             account: The pool and customer.
-            served: Cost units through this router since its term began.
+            served: Cost units served by this router since its term started.
             share: The customer's weight.
         """
-        known = self._reported.get(account)
-        if known is None:
+        reported = self._reported.get(account)
+        if reported is None:
             start = self._floor(account[0]) or 0.0
             self._reported[account] = _ReportedVirtualTime(start, served)
             return start
-        return known.virtual_time + (served - known.counted_cost_units) / share
+        return reported.virtual_time + (served - reported.counted_cost_units) / share
 
     def mark_waiting(self, account: Account, now_seconds: float) -> None:
-        """Note that an account has waiting work."""
+        """Record that an account has waiting work."""
         self._last_waiting_at_seconds[account] = now_seconds
 
     def raise_to_floor(
         self, account: Account, served: float, share: float, now_seconds: float
     ) -> None:
-        """Lift a customer back from idle before the allocator's word arrives.
+        """Raise the virtual time of a customer that was idle to the pool's floor.
 
-        Its last known virtual time is from before it went idle, and a burst would
-        run on that credit until the next news.
+        Its last reported virtual time dates from before it went idle. Until the
+        allocator's next update a burst would run on that credit.
         """
         waited_at = self._last_waiting_at_seconds.get(account, float("-inf"))
         self.mark_waiting(account, now_seconds)
@@ -75,15 +78,21 @@
         if behind > 0.0:
             self._reported[account].virtual_time += behind
 
-    def start_term(self, account: Account, told: float, share: float) -> None:
-        """Count from the start of a new term, in which nothing is told yet."""
-        known = self._reported.get(account)
-        if known is not None:
-            known.virtual_time += (told - known.counted_cost_units) / share
-            known.counted_cost_units = 0.0
+    def start_term(self, account: Account, served: float, share: float) -> None:
+        """Restart the count of this router's service for a new term.
+
+        Args:
+            account: The pool and customer.
+            served: Cost units that this router reported in the previous term.
+            share: The customer's weight.
+        """
+        reported = self._reported.get(account)
+        if reported is not None:
+            reported.virtual_time += (served - reported.counted_cost_units) / share
+            reported.counted_cost_units = 0.0
 
     def _floor(self, pool: str) -> float | None:
-        """Return the smallest virtual time that waits in a pool under contention."""
+        """Return the smallest waiting virtual time of a contended pool, or None."""
         if not self.is_contended(pool):
             return None
         return self._updates[pool].floor_virtual_time
--- a/sesameford/accounts.py
+++ b/sesameford/accounts.py
@@ -1,9 +1,9 @@
-"""Accounts: cumulative counters per origin that survive a bad network.
+"""Accounts: cumulative counters per origin that tolerate an unreliable network.
 
 An origin is an instance in one term of reporting. It reports totals under a
-sequence number that only grows, and the report with the largest number holds. So
-lost, doubled and reordered reports are harmless: a lost one is made good by the
-next, an old or doubled one changes nothing.
+sequence number that only grows, and the report with the largest number counts. Lost,
+duplicated and reordered reports are therefore harmless: the next report contains
+what a lost one would have added, and an old or duplicated one changes nothing.
 """
 
 from dataclasses import dataclass
@@ -14,18 +14,18 @@
 
 @dataclass(frozen=True, slots=True)
 class OriginTerm:
-    """One term of one incarnation of an origin; the larger one replaces."""
+    """One term of one incarnation of an origin; a newer one replaces an older one."""
 
     incarnation: int
     term: int
 
     def is_newer_than(self, other: "OriginTerm") -> bool:
-        """Return whether this one began after the other."""
+        """Return whether this term started after the other one."""
         return (self.incarnation, self.term) > (other.incarnation, other.term)
 
 
 class OriginTotals:
-    """The largest total heard from each origin for each account."""
+    """The latest total received from each origin for each account."""
 
     def __init__(self) -> None:
         self._terms: dict[str, OriginTerm] = {}
@@ -35,15 +35,15 @@
         """Accept a term of an origin.
 
         A restarted origin counts from zero under a new incarnation. Its old
-        counters are dropped, because what they counted is already in the
-        virtual times: only what it had not reported is lost.
+        counters are dropped, because the virtual times already include them. Only
+        service that it had not reported is lost.
 
         Args:
             origin: The reporting instance.
-            term: What its report says.
+            term: The term of its report.
 
         Returns:
-            False for a term from the past, whose rows must be ignored.
+            False for a term older than the current one; its rows must be ignored.
         """
         current = self._terms.get(origin)
         if current is not None and current.is_newer_than(term):
@@ -54,12 +54,12 @@
         return True
 
     def merge_total(self, origin: str, account: Account, total: float) -> float:
-        """Take a total of the latest report and return what it adds.
+        """Record a total of the latest report and return what it adds.
 
         Args:
             origin: An origin whose term was opened.
             account: The pool and customer.
-            total: Cost units since the origin's term began. It can be smaller
+            total: Cost units since the origin's term started. It can be smaller
                 than before, where a running request's estimate was too high.
 
         Returns:
@@ -71,11 +71,11 @@
         return added
 
     def total(self, origin: str, account: Account) -> float:
-        """Return what is counted of an origin's service to an account."""
+        """Return the cost units counted for an origin's service to an account."""
         return self._totals.get(origin, {}).get(account, 0.0)
 
     def drop_totals(self, origin: str) -> None:
-        """Drop an origin's counters, keeping its term as a bar to late reports."""
+        """Drop an origin's counters, but keep its term to reject late reports."""
         if origin in self._totals:
             self._totals[origin] = {}
 
@@ -87,7 +87,7 @@
         self._totals: dict[Account, float] = {}
 
     def add(self, account: Account, cost_units: float) -> None:
-        """Count service, or take back an estimate that was too high."""
+        """Count service; negative cost units correct an estimate that was too high."""
         self._totals[account] = self._totals.get(account, 0.0) + cost_units
 
     def total(self, account: Account) -> float:
--- a/sesameford/independent.py
+++ b/sesameford/independent.py
@@ -1,8 +1,8 @@
-"""The baseline scheduler: each router for itself, two random choices of target.
+"""The baseline scheduler: independent routers, the better of two random targets.
 
-Routers share no accounts: each divides a target's slots evenly by the number of
-instances that it knows and serves its own customers by weighted virtual time. It
-is kept to be measured against, and as the simplest thing that serves.
+Routers share no accounts. Each divides a target's slots evenly by the number of
+live instances, and serves its own customers by weighted virtual time. It is the
+baseline of the fairness benchmarks and the simplest scheduler that serves.
 """
 
 from collections import deque
@@ -30,21 +30,21 @@
 
 
 class _IndependentScheduler:
-    """State of the baseline; see ``Scheduler`` for what each call means."""
+    """The baseline scheduler; see ``Scheduler`` for its methods."""
 
     def __init__(self, instance_id: str, seed: int) -> None:
         self._instance_id = instance_id
         self._random = Random(seed)
         self._tree = EffectiveTree()
         self._targets: Mapping[str, Target] = {}
-        self._instances = 1
+        self._instance_count = 1
         self._queues: dict[tuple[str, str], _Queue] = {}
         self._queued_bytes: dict[str, int] = {}
         self._queued_count: dict[str, int] = {}
         self._attempts: dict[str, tuple[Attempt, Request]] = {}
-        self._running: dict[str, int] = {}
-        self._avoid: dict[str, str] = {}
-        self._next_attempt = 0
+        self._running_by_target: dict[str, int] = {}
+        self._avoided_targets: dict[str, str] = {}
+        self._attempt_count = 0
 
     def configure(self, tree: EffectiveTree, now_seconds: float) -> None:
         self._tree = tree
@@ -57,7 +57,7 @@
     def observe_instances(
         self, instances: Mapping[str, InstanceRow], now_seconds: float
     ) -> None:
-        self._instances = 1 + len(instances)
+        self._instance_count = 1 + len(instances)
 
     def submit(self, request: Request, now_seconds: float) -> None:
         limits = self._customer(request.customer_id).limits
@@ -86,7 +86,7 @@
     def decide(self, now_seconds: float) -> Sequence[Attempt]:
         attempts: list[Attempt] = []
         for resource in {resource for resource, _ in self._queues}:
-            while attempt := self._start_one(resource, now_seconds):
+            while attempt := self._start_next(resource, now_seconds):
                 attempts.append(attempt)
         return attempts
 
@@ -109,7 +109,7 @@
     def settle_attempt(
         self, attempt_id: str, usage: Usage, outcome: Outcome, now_seconds: float
     ) -> None:
-        ended = self._end(attempt_id)
+        ended = self._end_attempt(attempt_id)
         if ended is None:
             return
         attempt, request = ended
@@ -123,12 +123,12 @@
     def requeue_attempt(
         self, attempt_id: str, avoid_target_id: str | None, now_seconds: float
     ) -> None:
-        ended = self._end(attempt_id)
+        ended = self._end_attempt(attempt_id)
         if ended is None:
             return
         _, request = ended
         if avoid_target_id is not None:
-            self._avoid[request.request_id] = avoid_target_id
+            self._avoided_targets[request.request_id] = avoid_target_id
         self._enqueue(request, front=True)
 
     def handle_message(
@@ -165,29 +165,29 @@
             self._queues[key].requests.appendleft(request)
         else:
             self._queues[key].requests.append(request)
-        self._count(request, 1)
+        self._update_counts(request, 1)
 
     def _dequeue(self, key: tuple[str, str], request: Request) -> None:
         queue = self._queues[key]
         queue.requests.remove(request)
-        self._count(request, -1)
+        self._update_counts(request, -1)
         if not queue.requests:
             del self._queues[key]
 
-    def _count(self, request: Request, sign: int) -> None:
+    def _update_counts(self, request: Request, sign: int) -> None:
         customer_id = request.customer_id
         size_bytes = self._queued_bytes.get(customer_id, 0)
         self._queued_bytes[customer_id] = size_bytes + sign * request.body_bytes
         count = self._queued_count.get(customer_id, 0)
         self._queued_count[customer_id] = count + sign
 
-    def _end(self, attempt_id: str) -> tuple[Attempt, Request] | None:
+    def _end_attempt(self, attempt_id: str) -> tuple[Attempt, Request] | None:
         ended = self._attempts.pop(attempt_id, None)
         if ended is not None:
-            self._running[ended[0].target_id] -= 1
+            self._running_by_target[ended[0].target_id] -= 1
         return ended
 
-    def _start_one(self, resource: str, now_seconds: float) -> Attempt | None:
+    def _start_next(self, resource: str, now_seconds: float) -> Attempt | None:
         queues = {key: q for key, q in self._queues.items() if key[0] == resource}
         if not queues:
             return None
@@ -200,9 +200,9 @@
         share = self._customer(request.customer_id).share
         queues[key].virtual_time += estimate_units / share
         self._dequeue(key, request)
-        self._next_attempt += 1
+        self._attempt_count += 1
         attempt = Attempt(
-            attempt_id=f"{self._instance_id}-{self._next_attempt}",
+            attempt_id=f"{self._instance_id}-{self._attempt_count}",
             request_id=request.request_id,
             customer_id=request.customer_id,
             target_id=target.target_id,
@@ -211,26 +211,31 @@
             estimated_cost_units=estimate_units,
         )
         self._attempts[attempt.attempt_id] = (attempt, request)
-        self._running[target.target_id] = self._running.get(target.target_id, 0) + 1
+        self._running_by_target[target.target_id] = (
+            self._running_by_target.get(target.target_id, 0) + 1
+        )
         return attempt
 
     def _choose_target(self, request: Request) -> Target | None:
-        avoid = self._avoid.get(request.request_id)
+        avoid = self._avoided_targets.get(request.request_id)
         free = [
             target
             for target in self._targets.values()
             if request.resource in target.serves
             and target.kind == request.kind
-            and self._running.get(target.target_id, 0) < self._slots(target)
+            and self._running_by_target.get(target.target_id, 0)
+            < self._slot_share(target)
         ]
         free = [target for target in free if target.target_id != avoid] or free
         if not free:
             return None
         pair = self._random.sample(free, min(2, len(free)))
-        return min(pair, key=lambda target: self._running.get(target.target_id, 0))
+        return min(
+            pair, key=lambda target: self._running_by_target.get(target.target_id, 0)
+        )
 
-    def _slots(self, target: Target) -> int:
-        return ceil(target.capacity_slots / self._instances)
+    def _slot_share(self, target: Target) -> int:
+        return ceil(target.capacity_slots / self._instance_count)
 
 
 def make_independent_scheduler(
@@ -240,9 +245,9 @@
 
     Args:
         instance_id: The router that it decides for.
-        incarnation: Of that router; makes attempt ids unique over restarts.
-        data_centre: Where the router is; the baseline pays it no heed.
-        seed: For the random choices.
+        incarnation: Incarnation of the router; makes attempt ids unique over restarts.
+        data_centre: Data centre of the router; not used by the baseline.
+        seed: Seed of the random choices.
     """
     del data_centre
     return _IndependentScheduler(f"{instance_id}-{incarnation:x}", seed)
--- a/sesameford/limits.py
+++ b/sesameford/limits.py
@@ -1,9 +1,9 @@
 """Customers' limits over the whole fleet, split into a fraction per router.
 
-Each router enforces its fraction on its own, so a router or data centre that is
-cut off goes on with the fraction it had and the fleet's sum stays within the
-limit. Fractions follow the measured demand; whole numbers round so that a
-customer is never shut out of the router that its requests enter through.
+Each router enforces its fraction on its own. A router or data centre that is cut
+off continues with its last fraction, and the fleet's sum stays within the limit.
+Fractions follow the measured demand. Shares of a concurrency limit are rounded up,
+so that each router that a customer's requests enter through can run at least one.
 """
 
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class _CustomerBuckets:
-    """Token buckets of one customer at one router, and its demand."""
+    """Token buckets of one customer at one router, and its decaying demand."""
 
     requests_left: float
     cost_units_left: float
@@ -30,7 +30,7 @@
 
 
 class Limits:
-    """What each customer may still start here."""
+    """The limits of each customer at this router, and how much of them is used."""
 
     def __init__(self) -> None:
         self._settings: dict[str, LimitSettings] = {}
@@ -40,11 +40,11 @@
         self._running: dict[str, int] = {}
 
     def configure(self, settings: dict[str, LimitSettings]) -> None:
-        """Take the limits in force."""
+        """Replace the limits in force."""
         self._settings = settings
 
     def set_default_fraction(self, fraction: float) -> None:
-        """Set the fraction of a customer for whom no share is known yet."""
+        """Set the fraction of customers for whom no fraction is set."""
         self._default_fraction = fraction
 
     def set_fraction(self, customer_id: str, fraction: float) -> None:
@@ -60,7 +60,7 @@
         return self._settings.get(customer_id) or LimitSettings()
 
     def has_split_limit(self, customer_id: str) -> bool:
-        """Return whether a customer has a limit that is split over routers."""
+        """Return whether any limit of a customer is split over routers."""
         limits = self.limits_of(customer_id)
         return (
             limits.requests_per_second is not None
@@ -69,10 +69,10 @@
         )
 
     def admit(self, customer_id: str, now_seconds: float) -> None:
-        """Take a request against the limit on requests per second.
+        """Count a request against the limit on requests per second.
 
         Raises:
-            NotRunError: The limit is reached; it says when the next fits.
+            NotRunError: The limit is reached; its delay says when to retry.
         """
         if not self.has_split_limit(customer_id):
             return
@@ -96,7 +96,7 @@
         buckets.requests_left -= 1.0
 
     def may_start(self, customer_id: str, now_seconds: float) -> bool:
-        """Return whether cost rate and concurrency allow one more to start."""
+        """Return whether cost rate and concurrency allow one more start."""
         limits = self._settings.get(customer_id)
         if limits is None:
             return True
@@ -112,19 +112,19 @@
     def record_start(
         self, customer_id: str, cost_units: float, now_seconds: float
     ) -> None:
-        """Count a request that starts at its estimated cost."""
+        """Count a request that starts, at its estimated cost."""
         self._running[customer_id] = self._running.get(customer_id, 0) + 1
         self.record_cost(customer_id, cost_units, now_seconds)
 
     def record_cost(
         self, customer_id: str, cost_units: float, now_seconds: float
     ) -> None:
-        """Count cost beyond the estimate, or give back below it."""
+        """Charge cost units; negative ones refund an estimate that was too high."""
         if self.limits_of(customer_id).cost_units_per_second is not None:
             self._fill(customer_id, now_seconds).cost_units_left -= cost_units
 
     def record_end(self, customer_id: str) -> None:
-        """Count a request that ended."""
+        """Free the concurrency that a request used."""
         left = self._running.get(customer_id, 0) - 1
         if left > 0:
             self._running[customer_id] = left
@@ -138,26 +138,27 @@
     ) -> dict[str, float]:
         """Return the recent demand in requests per second of limited customers.
 
-        A backlog that arrived long ago is still demand. Were only arrivals counted,
-        the split would become even again, and a customer that waits at one router
-        would run there a fraction of what its limit allows.
+        Waiting and running requests count as demand, however long ago they arrived.
+        With arrivals alone the split would become even again, and a customer whose
+        backlog waits at one router would run there only a fraction of its limit.
 
         Args:
             now_seconds: The present time.
-            waiting_requests: How many of a customer's requests wait here.
+            waiting_requests: Returns how many of a customer's requests wait here.
         """
         rates = {}
         for customer, buckets in self._buckets.items():
             decay = 0.5 ** (
                 (now_seconds - buckets.demand_at_seconds) / _DEMAND_HALF_LIFE_SECONDS
             )
-            standing = waiting_requests(customer) + self._running.get(customer, 0)
-            wanted = max(buckets.demand * decay, standing)
-            rates[customer] = wanted / (_DEMAND_HALF_LIFE_SECONDS * 1.44)
+            present = waiting_requests(customer) + self._running.get(customer, 0)
+            demand = max(buckets.demand * decay, present)
+            # A steady rate adds up to 1.44 (1 / ln 2) half-lives of requests.
+            rates[customer] = demand / (_DEMAND_HALF_LIFE_SECONDS * 1.44)
         return rates
 
     def _fill(self, customer_id: str, now_seconds: float) -> _CustomerBuckets:
-        """Return a customer's buckets, filled up to now."""
+        """Return a customer's buckets, refilled up to the present time."""
         limits = self.limits_of(customer_id)
         fraction = self.fraction(customer_id)
         request_rate = (limits.requests_per_second or 0.0) * fraction
@@ -181,35 +182,35 @@
 
 
 def concurrency_share(concurrent_requests: int, fraction: float) -> int:
-    """Return a router's whole share of a concurrency limit.
+    """Return a router's share of a concurrency limit, as a whole number.
 
-    Rounded up, because rounded down a limit smaller than the routers would shut
-    the customer out; the fleet may thus exceed it by one for each router that
-    the customer enters through.
+    The share is rounded up: rounded down, a limit smaller than the number of routers
+    would shut the customer out. The fleet may therefore exceed the limit by one for
+    each router that the customer's requests enter through.
     """
     return ceil(concurrent_requests * fraction - 1e-9)
 
 
 def split_fractions(
-    wanted: dict[str, float], floor_fraction: float = 0.05
+    demands: dict[str, float], floor_fraction: float = 0.05
 ) -> dict[str, float]:
-    """Split one whole by demand, with a floor for those who want nothing.
+    """Split a limit by demand, with a floor for holders without demand.
 
     Args:
-        wanted: Demand by holder.
-        floor_fraction: The part that is dealt out evenly, so that a first
-            request through another router is not refused.
+        demands: Demand by holder.
+        floor_fraction: The part that is split evenly, so that the first request
+            through another router is not refused.
 
     Returns:
         Fractions by holder that add up to one.
     """
-    if not wanted:
+    if not demands:
         return {}
-    total = sum(wanted.values())
-    even = 1.0 / len(wanted)
+    total = sum(demands.values())
+    even = 1.0 / len(demands)
     if total <= 0.0:
-        return dict.fromkeys(wanted, even)
+        return dict.fromkeys(demands, even)
     return {
         holder: floor_fraction * even + (1.0 - floor_fraction) * (demand / total)
-        for holder, demand in wanted.items()
+        for holder, demand in demands.items()
     }
--- a/sesameford/queues.py
+++ b/sesameford/queues.py
@@ -1,8 +1,8 @@
 """Queues of waiting requests: a FIFO per customer and resource, all bounded.
 
-A flood fills only its own customer's queue. The bound on the bytes of a whole
-router is shared out by need: over it, the customer that holds the most is the
-one refused, so a flood can't take the room of another's request either.
+A burst fills only its own customer's queue. The bound on the queued bytes of a whole
+router is split by need: near it, only the customers that hold the most are refused,
+so a burst can't use up the capacity for other customers' requests either.
 """
 
 from collections import deque
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitingRequest:
-    """A request in a queue and the target that a new attempt should avoid."""
+    """A queued request and the target that its next attempt should avoid."""
 
     request: Request
     estimated_cost_units: float
@@ -48,7 +48,7 @@
         return iter(list(self._queues))
 
     def total_bytes(self) -> int:
-        """Return the body bytes that wait here."""
+        """Return the body bytes of all waiting requests."""
         return self._total_bytes
 
     def requests_of(self, customer_id: str) -> int:
@@ -68,16 +68,16 @@
         return len(self._queues.get(key, ()))
 
     def cost_units(self, key: QueueKey) -> float:
-        """Return the estimated cost that waits in a queue."""
+        """Return the estimated cost of a queue's requests."""
         return max(self._cost_units.get(key, 0.0), 0.0)
 
     def head(self, key: QueueKey) -> WaitingRequest | None:
-        """Return the request that is next in a queue."""
+        """Return the next request of a queue, or None."""
         queue = self._queues.get(key)
         return queue[0] if queue else None
 
     def add(self, waiting: WaitingRequest, in_front: bool = False) -> None:
-        """Queue a request; bounds are the caller's to check first."""
+        """Queue a request; the caller checks the bounds first."""
         request = waiting.request
         key = (request.customer_id, request.resource)
         queue = self._queues.setdefault(key, deque())
@@ -90,7 +90,7 @@
         self._update_counts(waiting, 1)
 
     def remove(self, request_id: str) -> WaitingRequest | None:
-        """Take a request out, wherever it stands; None if it is not here."""
+        """Remove a request at any position; None if it does not wait here."""
         waiting = self._waiting.pop(request_id, None)
         if waiting is None:
             return None
@@ -106,7 +106,7 @@
         return waiting
 
     def remove_expired(self, now_seconds: float) -> list[str]:
-        """Take out and return the requests whose deadline has passed."""
+        """Remove and return the requests whose deadline has passed."""
         expired = []
         while self._deadlines and self._deadlines[0][0] <= now_seconds:
             _, request_id = heappop(self._deadlines)
@@ -117,7 +117,7 @@
         return expired
 
     def _update_counts(self, waiting: WaitingRequest, sign: int) -> None:
-        """Keep the sums beside the queues."""
+        """Add a request to the counters, or subtract it with a sign of -1."""
         request = waiting.request
         customer = request.customer_id
         key = (customer, request.resource)
--- a/sesameford/schedulers.py
+++ b/sesameford/schedulers.py
@@ -1,4 +1,4 @@
-"""The schedulers that the tree may name, made for one instance."""
+"""Builds the scheduler of an instance from those that the tree may name."""
 
 from functools import partial
 
@@ -15,8 +15,8 @@
     """Return a scheduler that follows ``fleet.scheduler`` of the tree.
 
     Args:
-        settings: Of the instance that it decides for.
-        incarnation: Of its process.
+        settings: Settings of the instance that the scheduler decides for.
+        incarnation: Incarnation of the instance's process.
     """
     arguments = (
         settings.instance_id,
