--- a/sesameford/affinity.py
+++ b/sesameford/affinity.py
@@ -1,10 +1,10 @@
 """Prefix affinity: which target has likely cached the start of a prompt.
 
 A router remembers where it sent a prefix and corrects that by the targets' cache
-events, which come late and with gaps, so it is a hint and no more. Digests are
-made with the customer's id: two customers with the same prompt share nothing, and
-neither can learn the other's prompts by timing. A hint only chooses among targets
-with a free slot; a request never waits for its cache.
+events. These arrive late and with gaps, so the result is only a hint. Digests
+include the customer's id: two customers with the same prompt share no entry, and
+neither can learn the other's prompts by timing. The hint only chooses among targets
+with a free slot; a request never waits for its cached prefix.
 """
 
 from collections import OrderedDict
@@ -16,7 +16,7 @@
 
 
 class Affinity:
-    """A bounded memory of prefixes by target, the least recently used going first."""
+    """A bounded map of prefix digests to targets, with LRU eviction."""
 
     def __init__(self, max_prefixes: int = MAX_PREFIXES) -> None:
         self._max_prefixes = max_prefixes
@@ -26,7 +26,7 @@
         return len(self._targets)
 
     def record_sent(self, request: Request, target_id: str) -> None:
-        """Note that a request goes to a target, which will cache its prefixes."""
+        """Record that a request is sent to a target, which will cache its prefixes."""
         for digest in request.prefix_digests:
             self._targets[digest] = target_id
             self._targets.move_to_end(digest)
@@ -34,21 +34,25 @@
             self._targets.popitem(last=False)
 
     def record_evicted(self, target_id: str, digests: Iterable[int]) -> None:
-        """Take a target's news that it dropped prefixes."""
+        """Record that a target evicted prefixes from its cache."""
         for digest in digests:
             if self._targets.get(digest) == target_id:
                 del self._targets[digest]
 
     def forget_target(self, target_id: str) -> None:
-        """Drop all of a target that left or restarted: its cache is empty."""
-        gone = [one for one, target in self._targets.items() if target == target_id]
-        for digest in gone:
+        """Drop the prefixes of a target that left or restarted: its cache is empty."""
+        dropped = [
+            prefix for prefix, target in self._targets.items() if target == target_id
+        ]
+        for digest in dropped:
             del self._targets[digest]
 
     def cached_prefixes(self, request: Request, target_id: str) -> int:
         """Return how many of a request's prefixes a target has likely cached."""
         targets = self._targets
-        return sum(targets.get(one) == target_id for one in request.prefix_digests)
+        return sum(
+            targets.get(digest) == target_id for digest in request.prefix_digests
+        )
 
     def choose_target(
         self,
@@ -62,18 +66,19 @@
         Args:
             request: The request.
             free: Free slots by target.
-            serving: Targets with a free slot that serve it, at least one.
-            avoid_target_id: Taken only where there is no other.
+            serving: Targets with a free slot that serve the request, at least one.
+            avoid_target_id: Target to choose only where there is no other.
 
         Returns:
-            The target with most of its prefixes, of equals the emptiest.
+            The target with most of the request's prefixes; among equals the one
+            with most free slots.
         """
         return max(
             serving,
-            key=lambda one: (
-                one != avoid_target_id,
-                self.cached_prefixes(request, one),
-                free[one],
-                one,
+            key=lambda target_id: (
+                target_id != avoid_target_id,
+                self.cached_prefixes(request, target_id),
+                free[target_id],
+                target_id,
             ),
         )
--- a/sesameford/buckets.py
+++ b/sesameford/buckets.py
@@ -1,4 +1,4 @@
-"""The bounds of every histogram of times, so that panels can be laid side by side."""
+"""Bucket bounds of all histograms of times, equal so that panels are comparable."""
 
 SECONDS_BUCKETS = (
     0.001,
--- a/sesameford/costs.py
+++ b/sesameford/costs.py
@@ -1,4 +1,4 @@
-"""Cost units: what a request has cost, and the prior of what it will."""
+"""Cost units: the cost of a request's usage, and its estimate without history."""
 
 from sesameford.effective import EffectiveTree, ModelSettings, ServiceSettings
 from sesameford.tables import Request, TargetKind, Usage
@@ -7,21 +7,21 @@
 
 
 def model_settings(tree: EffectiveTree, model: str) -> ModelSettings:
-    """Return a model's settings, the defaults where the tree has none."""
+    """Return a model's settings, or the defaults where the tree has none."""
     return tree.models.get(model) or ModelSettings(model)
 
 
 def service_settings(tree: EffectiveTree, service: str) -> ServiceSettings:
-    """Return a service's settings, the defaults where the tree has none."""
+    """Return a service's settings, or the defaults where the tree has none."""
     return tree.services.get(service) or ServiceSettings(service)
 
 
 def cost_of_usage(tree: EffectiveTree, request: Request, usage: Usage) -> float:
-    """Return the cost units of what a request used.
+    """Return the cost of a request's usage.
 
     Args:
-        tree: Holds the rates.
-        request: Says which model or service it was.
+        tree: Tree with the rates.
+        request: Request with the model or service.
         usage: Totals of the attempt.
 
     Returns:
@@ -40,11 +40,11 @@
 
 
 def estimate_cost(tree: EffectiveTree, request: Request) -> float:
-    """Return the prior cost units of a request that nothing is learned of.
+    """Return the estimated cost of a request without history.
 
     Args:
-        tree: Holds the rates and the default answer length.
-        request: Its hint, where given, is taken as it is.
+        tree: Tree with the rates and the default answer length.
+        request: The request; its hint, where given, is used unchanged.
 
     Returns:
         Cost units above zero.
--- a/sesameford/prompts.py
+++ b/sesameford/prompts.py
@@ -1,4 +1,4 @@
-"""What can be told of a request from its body before it runs."""
+"""Properties of a completion request derived from its body before it runs."""
 
 from typing import Any
 
@@ -10,7 +10,7 @@
 
 
 def prompt_text(body: dict[str, Any]) -> str:
-    """Return all text of a completion request's prompt or messages."""
+    """Return the text of a completion request's prompt, or of all its messages."""
     prompt = body.get("prompt")
     if isinstance(prompt, str):
         return prompt
@@ -22,19 +22,19 @@
 
 
 def prompt_tokens(text: str) -> int:
-    """Return a rough number of tokens of a prompt."""
+    """Return the estimated number of tokens of a prompt."""
     return len(text) // CHARACTERS_PER_TOKEN + 1
 
 
 def prefix_digests(customer_id: str, text: str) -> tuple[int, ...]:
-    """Return digests of ever longer prefixes of a prompt.
+    """Return digests of a prompt's prefixes, each one block longer than the last.
 
-    The customer is part of each digest. Otherwise one customer's prompt would be
-    routed to where another's equal prompt is cached, and the quick first token
-    would tell that somebody else has asked just this.
+    Each digest includes the customer. Otherwise one customer's prompt would be
+    routed to the target that has cached another's equal prompt, and the short time
+    to the first token would reveal that another customer sent the same prompt.
 
     Args:
-        customer_id: Whose prompt it is.
+        customer_id: Customer that sent the prompt.
         text: The prompt.
 
     Returns:
@@ -42,8 +42,8 @@
     """
     digests = []
     seed = xxh3_64_intdigest(customer_id.encode())
-    whole = min(len(text) // PREFIX_CHARACTERS, MAX_PREFIXES)
-    for position in range(whole):
+    blocks = min(len(text) // PREFIX_CHARACTERS, MAX_PREFIXES)
+    for position in range(blocks):
         start = position * PREFIX_CHARACTERS
         seed = xxh3_64_intdigest(text[start : start + PREFIX_CHARACTERS].encode(), seed)
         digests.append(seed)
