--- a/sesameford/leased.py
+++ b/sesameford/leased.py
@@ -32,6 +32,8 @@
 from sesameford.windows import CompletionTotals
 
 _ELECTION_CHECK_SECONDS = 0.1
+# Both bound the time of a call where this instance is its own allocator: each report
+# can then lead to grants, and the grants to another report.
 _MAX_EXCHANGE_ROUNDS = 4
 _MAX_DECISION_ROUNDS = 3
 
@@ -105,7 +107,7 @@
         self._follow_election(now_seconds)
 
     def _follow_election(self, now_seconds: float) -> None:
-        """Report to the elected allocator, or become it where this one is elected."""
+        """Follow the election: become the allocator, or report to the elected one."""
         self._election_checked_at_seconds = now_seconds
         own = self._state.tree.instances.get(self._instance_id)
         may_serve = own is None or not own.drain
--- a/sesameford/limits.py
+++ b/sesameford/limits.py
@@ -76,7 +76,7 @@
         """
         if not self.has_split_limit(customer_id):
             return
-        buckets = self._fill(customer_id, now_seconds)
+        buckets = self._refill(customer_id, now_seconds)
         decay = 0.5 ** (
             (now_seconds - buckets.demand_at_seconds) / _DEMAND_HALF_LIFE_SECONDS
         )
@@ -107,7 +107,7 @@
                 return False
         if limits.cost_units_per_second is None:
             return True
-        return self._fill(customer_id, now_seconds).cost_units_left > 0.0
+        return self._refill(customer_id, now_seconds).cost_units_left > 0.0
 
     def record_start(
         self, customer_id: str, cost_units: float, now_seconds: float
@@ -121,7 +121,7 @@
     ) -> None:
         """Charge cost units; negative ones refund an estimate that was too high."""
         if self.limits_of(customer_id).cost_units_per_second is not None:
-            self._fill(customer_id, now_seconds).cost_units_left -= cost_units
+            self._refill(customer_id, now_seconds).cost_units_left -= cost_units
 
     def record_end(self, customer_id: str) -> None:
         """Free the concurrency that a request used."""
@@ -157,7 +157,7 @@
             rates[customer] = demand / (_DEMAND_HALF_LIFE_SECONDS * 1.44)
         return rates
 
-    def _fill(self, customer_id: str, now_seconds: float) -> _CustomerBuckets:
+    def _refill(self, customer_id: str, now_seconds: float) -> _CustomerBuckets:
         """Return a customer's buckets, refilled up to the present time."""
         limits = self.limits_of(customer_id)
         fraction = self.fraction(customer_id)
@@ -188,6 +188,7 @@
     would shut the customer out. The fleet may therefore exceed the limit by one for
     each router that the customer's requests enter through.
     """
+    # The subtrahend keeps a rounding error of the product from adding one.
     return ceil(concurrent_requests * fraction - 1e-9)
 
 
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -1,4 +1,4 @@
-"""Reports that are lost, doubled or late change nothing in the end."""
+"""Lost, duplicated and late reports do not change the final totals."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -10,10 +10,10 @@
 ACCOUNT = ("m", "c")
 
 
-def test_a_restarted_origin_counts_anew_and_its_late_reports_are_ignored():
-    """A router dies, starts empty, and a report from before the crash arrives late.
+def test_a_restarted_origin_counts_from_zero_and_its_late_reports_are_ignored():
+    """A router restarts, and a report from before its crash arrives late.
 
-    Were it taken, the customer would be charged twice and wait for nothing.
+    If it were accepted, the customer would be charged twice and wait needlessly.
     """
     totals = OriginTotals()
     old, new = OriginTerm(1, 1), OriginTerm(2, 1)
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -1,4 +1,4 @@
-"""A prefix goes where it is cached, unless that would leave a slot idle."""
+"""Requests go to the target that has cached their prefix, if it has a free slot."""
 
 from sesameford.affinity import Affinity
 from sesameford.tables import Request, TargetKind
@@ -21,7 +21,7 @@
     )
 
 
-def test_the_longest_cached_prefix_wins_and_a_missing_target_is_given_up():
+def test_the_longest_cached_prefix_is_preferred_among_available_targets():
     affinity = Affinity()
     affinity.record_sent(make_request((1, 2)), "t1")
     affinity.record_sent(make_request((9,)), "t2")
@@ -32,10 +32,10 @@
     assert affinity.choose_target(request, {"t2": 5}, ["t2"], None) == "t2"
 
 
-def test_late_news_of_an_eviction_does_not_undo_a_newer_sending():
-    """A target drops a prefix, tells so late, and the prefix was sent elsewhere since.
+def test_a_late_eviction_does_not_undo_a_newer_send():
+    """A target's eviction is reported after the prefix was sent to another target.
 
-    Taken as it comes, the news would send the next request to a cold cache.
+    If it removed the newer entry, the next request would go to a cold cache.
     """
     affinity = Affinity()
     affinity.record_sent(make_request((1,)), "t1")
@@ -46,7 +46,7 @@
     assert len(affinity) == 0
 
 
-def test_the_memory_is_bounded():
+def test_the_number_of_prefixes_is_bounded():
     affinity = Affinity(max_prefixes=10)
     for number in range(100):
         affinity.record_sent(make_request((number,)), "t1")
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -1,4 +1,4 @@
-"""Estimates follow what a customer's requests cost, whatever it hints."""
+"""Estimates follow the actual cost of a customer's requests, not its hints."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("wrong", [0.25, 4.0])
-def test_a_customer_gains_nothing_by_wrong_hints(wrong):
+def test_wrong_hints_do_not_change_the_estimate(wrong):
     estimates = Estimates()
     for _ in range(40):
         estimates.record_cost(make_request(100.0 * wrong), 100.0)
--- a/tests/test_leased.py
+++ b/tests/test_leased.py
@@ -1,4 +1,4 @@
-"""Leased slots in virtual time: one router, a fleet, and a bad network."""
+"""The leased scheduler in virtual time: one router, a fleet, an unreliable network."""
 
 from random import Random
 
@@ -8,13 +8,14 @@
 from sesameford.leased import make_leased_scheduler
 from standins.virtual_fleet import Network, VirtualFleet, make_targets
 
-ROOMY = LimitSettings(queued_requests=1_000_000, queued_bytes=10**12)
+LARGE_QUEUES = LimitSettings(queued_requests=1_000_000, queued_bytes=10**12)
 
 
 def make_fleet(routers, places, slots=4, customers=4, seed=1, network=None):
     names = [f"c{number}" for number in range(customers)]
     tree = EffectiveTree(
-        1, customers={name: CustomerSettings(name, limits=ROOMY) for name in names}
+        1,
+        customers={name: CustomerSettings(name, limits=LARGE_QUEUES) for name in names},
     )
     order = sorted(places)
     where = {f"e{number}": order[number % len(order)] for number in range(routers)}
@@ -47,9 +48,9 @@
 
 
 def test_messages_lost_doubled_and_late_do_not_stop_work():
-    """A congested network drops a tenth of the messages and doubles others.
+    """All requests must run although a tenth of the messages is lost.
 
-    Nobody notices but by a little more waiting.
+    The network also duplicates a fifth of the messages and delays them.
     """
     network = Network(0.005, 0.2, loss=0.1, doubling=0.2)
     fleet = make_fleet(8, {"p0": 2, "p1": 2, "p2": 2}, network=network)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits over the fleet are split, and a refusal says truly when to come again."""
+"""Limits are split over the fleet, and a refusal's retry delay is sufficient."""
 
 import pytest
 from hypothesis import given, settings
@@ -52,10 +52,10 @@
 
 
 def test_a_backlog_that_arrived_long_ago_is_still_demand():
-    """Forty requests of a customer wait at one router; nothing new has come for long.
+    """Forty requests of a customer wait at one router, and no new ones arrive.
 
-    If only arrivals counted, its limit would be split evenly over all routers again,
-    and its callers would wait several times as long as the limit makes them.
+    With arrivals alone as demand, its limit would be split evenly over all routers
+    again, and its callers would wait several times as long as the limit requires.
     """
     limits = Limits()
     limits.configure({"c": LimitSettings(concurrent_requests=2)})
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -1,4 +1,4 @@
-"""Queues stay within their bounds, whoever floods them."""
+"""Queues stay within their bounds during a burst of one customer's requests."""
 
 import pytest
 
@@ -32,7 +32,7 @@
     )
 
 
-def test_requests_leave_by_their_deadline_wherever_they_stand():
+def test_expired_requests_are_removed_at_any_position():
     queues = Queues()
     for number in range(5):
         request = make_request(number, "c", deadline_seconds=10.0 - number)
@@ -42,14 +42,14 @@
     assert queues.total_bytes() == 200
 
 
-def test_a_flood_can_not_take_the_room_of_another():
-    """One customer sends without end; another sends its first request later.
+def test_a_burst_leaves_queue_capacity_to_other_customers():
+    """One customer's burst must not fill the queue bytes of the whole router.
 
-    The flood is refused with a time to come again, and the other's request waits
-    as if there were no flood.
+    The burst is refused with a retry delay, and requests that another customer sends
+    later are queued as if there were no burst.
     """
-    roomy = LimitSettings(queued_requests=10**6, queued_bytes=10**9)
-    customers = {name: CustomerSettings(name, 1.0, roomy) for name in ("flood", "calm")}
+    large = LimitSettings(queued_requests=10**6, queued_bytes=10**9)
+    customers = {name: CustomerSettings(name, 1.0, large) for name in ("flood", "calm")}
     tree = EffectiveTree(1, FleetSettings(queued_limit_bytes=10_000), customers)
     router = make_leased_scheduler("e1", 1, "a", 1)
     router.configure(tree, 0.0)
--- a/tests/test_scheduler_switch.py
+++ b/tests/test_scheduler_switch.py
@@ -1,4 +1,4 @@
-"""A change of scheduler by the tree cuts nothing and loses nothing."""
+"""A change of scheduler by the tree neither interrupts nor loses a request."""
 
 from sesameford.effective import (
     CustomerSettings,
@@ -32,10 +32,11 @@
     return EffectiveTree(fleet=FleetSettings(scheduler=name))
 
 
-def test_waiting_requests_move_and_running_ones_end_where_they_began():
+def test_waiting_requests_move_and_running_ones_stay_with_their_scheduler():
     """An operator changes the scheduler while one request runs and one waits.
 
-    Lost in the change, the waiting caller would hear nothing until its deadline.
+    If the waiting request were lost, its caller would get no answer until its
+    deadline.
     """
     switch = make_switch()
     switch.submit(make_request("running"), 0.0)
@@ -51,8 +52,8 @@
     assert switch.running_attempts() == 1
 
 
-def test_a_retry_of_what_began_before_goes_to_the_new_scheduler():
-    """A target refuses, after a change of scheduler, what the old one sent there."""
+def test_a_retry_after_a_switch_goes_to_the_new_scheduler():
+    """A target refuses an attempt that was started before the change of scheduler."""
     switch = make_switch()
     switch.submit(make_request("refused"), 0.0)
     (attempt,) = switch.decide(0.0)
@@ -63,10 +64,10 @@
 
 
 def test_attempts_of_two_schedulers_never_share_an_id():
-    """Two schedulers count their attempts alike, and both have one that runs.
+    """Two schedulers number their attempts in the same way, and each runs one.
 
-    An engine that sees one id twice takes the second for the first, and a caller
-    reads another's answer.
+    An engine that receives one id twice mistakes the second attempt for the first,
+    and a caller reads another caller's answer.
     """
     switch = make_switch()
     switch.submit(make_request("first"), 0.0)
@@ -79,10 +80,10 @@
     assert switch.running_attempts() == 1
 
 
-def test_a_request_that_the_new_scheduler_refuses_is_told_so():
-    """The change of scheduler comes with a shorter queue than what waits.
+def test_requests_that_the_new_scheduler_refuses_are_returned_as_expired():
+    """A change of scheduler also reduces the queue limit below the waiting requests.
 
-    Dropped in silence, the caller would hear nothing at all.
+    If the refused requests were dropped silently, their callers would get no answer.
     """
     switch = make_switch()
     for name in ("first", "second", "third"):
@@ -96,7 +97,7 @@
     assert switch.remove_expired(1.0) == []
 
 
-def test_an_unknown_name_leaves_the_present_scheduler_in_force():
+def test_an_unknown_name_does_not_change_the_scheduler():
     switch = make_switch()
     switch.configure(tree("none"), 0.0)
     assert switch.name == "one"
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,4 +1,4 @@
-"""Allocators die, are cut off silently, and data centres part and meet again."""
+"""Allocators crash or become isolated, and data centres are partitioned."""
 
 import pytest
 
@@ -40,11 +40,11 @@
     return {name: fleet.served[name] - before.get(name, 0.0) for name in NAMES}
 
 
-def test_an_allocator_dies_and_the_next_one_serves(fleet):
-    """The instance with the smallest id of a data centre loses its power.
+def test_the_next_allocator_serves_after_a_crash(fleet):
+    """The allocator of a data centre, the instance with the smallest id, crashes.
 
-    Its data centre's targets must not stand idle for longer than a lease, and no
-    slot is given out twice.
+    The data centre's targets must not be idle for longer than a lease, and no slot
+    may be granted twice.
     """
     fleet.stop_router("e0")
     fleet.run(6.0)
@@ -54,7 +54,7 @@
 
 
 def longest_wait(fleet, name, seconds):
-    """Return for how long at most a customer that waits gets no service at all."""
+    """Return the longest time in seconds that a waiting customer gets no service."""
     longest = waited = 0.0
     for _ in range(round(seconds / 0.1)):
         before = fleet.served[name]
@@ -65,13 +65,11 @@
 
 
 @pytest.mark.parametrize("down_seconds", [0.5, 1.5, 2.5, 4.0])
-def test_nobody_starves_while_an_allocator_dies_and_comes_back_empty(
-    fleet, down_seconds
-):
-    """The allocator of a data centre is killed and restarted a moment later.
+def test_no_customer_starves_while_an_allocator_restarts(fleet, down_seconds):
+    """The allocator of a data centre is killed and restarted with empty tables.
 
-    Customers that enter at its neighbour wait for the takeover. Elected again as
-    soon as it was back, the restarted one let them wait for a second one.
+    Customers of its neighbour wait for one takeover. If the restarted instance were
+    elected again at once, they would wait for a second one.
     """
     fleet.stop_router("e0")
     waits = [longest_wait(fleet, "c0", down_seconds)]
@@ -80,29 +78,29 @@
     assert sum(waits) <= 1.0, waits
 
 
-def test_an_allocator_that_hears_nobody_is_passed_over(fleet):
-    """A firewall loses track of all connections towards one instance.
+def test_an_allocator_that_receives_no_messages_is_replaced(fleet):
+    """A firewall drops all connections towards one instance.
 
-    Its heartbeats still go out, so the others take it for well, but it answers no
-    report: they turn to the next one when their leases run out.
+    Its heartbeats still go out, so the others consider it live, but it answers no
+    report. They report to the next allocator when their leases expire.
     """
     fleet.network.cut = lambda sender, receiver: receiver == "e0"
     fleet.run(7.0)
     served = served_in(fleet, 5.0)
     assert served["c0"] > 0.0
     assert sum(served.values()) >= 0.9 * 5.0 * 100.0 * 2 * SLOTS
-    # The isolated one takes itself for the allocator too and may fill a target.
+    # The isolated instance also acts as the allocator and may fill a target.
     assert fleet.counted.most_running_over <= SLOTS
     fleet.network.cut = lambda sender, receiver: False
     fleet.run(15.0)
     assert all(fleet.running(target) <= SLOTS for target in fleet.targets)
 
 
-def test_debt_from_a_cut_does_not_starve_anybody(fleet):
-    """Data centres lose each other for a minute; each serves its own customers.
+def test_debt_from_a_partition_does_not_starve_a_customer(fleet):
+    """Two data centres are partitioned for a minute; each serves its own customers.
 
-    The customer alone on one side gets twice what the two on the other side get.
-    When the sides meet it must wait a little, not until they have caught up.
+    The only customer of one side gets twice the service of each of the other two.
+    After the partition it must wait briefly, not until the others have caught up.
     """
     places = fleet.places
     fleet.network.cut = lambda one, other: places[one] != places[other]
@@ -115,10 +113,10 @@
     assert sum(together.values()) >= 0.95 * 15.0 * 100.0 * 2 * SLOTS
 
 
-def test_a_flood_does_not_slow_the_others(fleet):
+def test_a_burst_does_not_slow_other_customers(fleet):
     """One customer sends a hundred times its share through every router.
 
-    The two others go on getting their thirds.
+    The other two customers must still get a third of the service each.
     """
     for number in range(2000):
         fleet.submit(sorted(ROUTERS)[number % 4], "c2", 100.0, 25.0)
--- a/tests/test_virtual_time.py
+++ b/tests/test_virtual_time.py
@@ -1,9 +1,9 @@
-"""Nobody saves up credit while idle, and debt is clamped."""
+"""Idle customers gain no credit, and debt is clamped."""
 
 from sesameford.virtual_time import VirtualTimes
 
 
-def test_a_customer_back_from_idle_starts_level_with_those_that_wait():
+def test_a_customer_that_was_idle_starts_at_the_floor():
     times = VirtualTimes(0.5, 1000.0)
     times.charge("busy", 5000.0, 1.0)
     times.mark_backlogged({"busy": 0.0}, 1.0)
@@ -12,9 +12,10 @@
 
 
 def test_debt_from_the_other_side_of_a_partition_is_clamped():
-    """A data centre is cut off for an hour while a customer is served on both sides.
+    """A customer is served on both sides of a partition that lasts for an hour.
 
-    When the sides meet, its account jumps. Unclamped, it would wait for an hour.
+    Its virtual time jumps when the sides merge. Without the clamp it would then wait
+    for an hour.
     """
     times = VirtualTimes(0.5, 1000.0)
     times.charge("both", 1e6, 1.0)
@@ -23,13 +24,13 @@
     assert times.virtual_time("both") == times.virtual_time("other") + 2000.0
 
 
-def test_a_longer_share_counts_less():
+def test_service_is_divided_by_the_share():
     times = VirtualTimes(0.5, 1000.0)
     times.charge("wide", 100.0, 4.0)
     assert times.virtual_time("wide") == 25.0
 
 
-def test_copies_meet_without_changing_what_all_have_in_common():
+def test_allocators_converge_on_differences_and_ignore_a_common_offset():
     one, other = VirtualTimes(0.5, 1e9), VirtualTimes(0.5, 1e9)
     for times, ahead in ((one, 0.0), (other, 500.0)):
         times.charge("a", 100.0 + ahead, 1.0)
