--- a/sesameford/completion_run.py
+++ b/sesameford/completion_run.py
@@ -188,7 +188,7 @@
             yield ready
         if events.event_count >= next_progress:
             next_progress = events.event_count + PROGRESS_EVENTS
-            run.deps.router.progress(run.attempt, _usage(run))
+            run.deps.router.record_progress(run.attempt, _usage(run))
 
 
 async def _resume(run: CompletionRun, broke: Exception | None) -> ClientResponse:
--- a/sesameford/inbox.py
+++ b/sesameford/inbox.py
@@ -91,7 +91,7 @@
                 deps.router.scheduler.received(
                     sender_id, incarnation, message, now_seconds
                 )
-                deps.router.wake()
+                deps.router.schedule_decision()
 
     return take
 
--- a/sesameford/instance.py
+++ b/sesameford/instance.py
@@ -344,7 +344,7 @@
         delay_seconds = self.router.tree.fleet.balancer_delay_seconds
         self._stop.advance(load, delay_seconds, now_seconds)
         if self._stop.step is StopStep.FINISHING:
-            self.router.refuse_waiting(
+            self.router.refuse_waiting_requests(
                 NotRunError("stopping", "this instance is stopping", 503, 1.0)
             )
 
--- a/sesameford/relay.py
+++ b/sesameford/relay.py
@@ -297,7 +297,7 @@
     with deps.tracer.start_as_current_span("dispatch") as span:
         span.set_attribute("attempt", attempt.attempt_id)
         span.set_attribute("target", attempt.target_id)
-        target = deps.router.target(attempt)
+        target = deps.router.find_target(attempt)
     if target is None:
         raise TargetRefusedError(
             "the target left before anything was sent", Failure.NEVER_SENT
--- a/sesameford/router.py
+++ b/sesameford/router.py
@@ -51,9 +51,9 @@
         self.tree = tree
         self.metrics.revision.set({}, tree.revision)
         self.scheduler.configure(tree, self._now())
-        self.wake()
+        self.schedule_decision()
 
-    def target(self, attempt: Attempt) -> Target | None:
+    def find_target(self, attempt: Attempt) -> Target | None:
         """Return the target of an attempt while it is the same incarnation."""
         target = self._targets.get(attempt.target_id)
         if target is None or target.incarnation != attempt.target_incarnation:
@@ -90,9 +90,9 @@
         """End an attempt and free its place."""
         self._count_out(attempt)
         self.scheduler.settled(attempt.attempt_id, usage, outcome, self._now())
-        self.wake()
+        self.schedule_decision()
 
-    def progress(self, attempt: Attempt, usage: Usage) -> None:
+    def record_progress(self, attempt: Attempt, usage: Usage) -> None:
         """Tell the scheduler what a running attempt has used so far."""
         self.scheduler.progressed(attempt.attempt_id, usage, self._now())
 
@@ -114,7 +114,7 @@
             if not self._running[unit]:
                 del self._running[unit]
 
-    def wake(self) -> None:
+    def schedule_decision(self) -> None:
         """Decide soon, once for all events of this turn of the loop."""
         if not self._pump_is_due:
             self._pump_is_due = True
@@ -149,9 +149,9 @@
                     DEADLINE_RETRY_SECONDS,
                 ),
             )
-        self.wake()
+        self.schedule_decision()
 
-    def refuse_waiting(self, error: NotRunError) -> None:
+    def refuse_waiting_requests(self, error: NotRunError) -> None:
         """Hand back the waiting requests as not run, for a planned stop.
 
         One whose earlier attempt failed waits on: handed back it would have to be
@@ -166,7 +166,7 @@
         waiter: asyncio.Future[Attempt] = loop.create_future()
         self._waiters[request.request_id] = waiter
         self._resource_of[request.request_id] = request.resource
-        self.wake()
+        self.schedule_decision()
         try:
             return await waiter
         except asyncio.CancelledError:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -373,7 +373,7 @@
         waiting = asyncio.get_running_loop().create_future()
         router._waiters.update({"r1": retrying, "r2": waiting})
         router._retrying.add("r1")
-        router.refuse_waiting(ValueError("stopping"))
+        router.refuse_waiting_requests(ValueError("stopping"))
         assert not retrying.done()
         assert isinstance(waiting.exception(), ValueError)
         router._waiters.clear()
