--- a/sesameford/completion_run.py
+++ b/sesameford/completion_run.py
@@ -198,7 +198,7 @@
         TargetLostError: The engine does not know the stream, or can't be reached.
     """
     silent = isinstance(broke, TimeoutError)
-    run.deps.outcomes.silences += silent
+    run.deps.outcomes.silent_connections += silent
     if run.progress.fruitless_resumes >= MAX_FRUITLESS_RESUMES and not silent:
         raise TargetLostError(f"the stream broke again: {broke!r}", Failure.ANSWER_CUT)
     if not silent:
--- a/sesameford/inbox.py
+++ b/sesameford/inbox.py
@@ -74,7 +74,7 @@
             case LogPayload() | ProposalRequest() | ProposalReply():
                 deps.log.received(sender_id, incarnation, message, now_seconds)
             case SuspectUpdate():
-                deps.outcomes.received(message, now_seconds)
+                deps.outcomes.merge_suspect_update(message, now_seconds)
             case StoredAnswerQuery():
                 deps.words.asked(sender_id, message, deps.keyed)
             case StoredAnswer():
--- a/sesameford/instance.py
+++ b/sesameford/instance.py
@@ -163,7 +163,7 @@
         ports = KeyedPorts(self._log.propose, self._words.ask, asyncio.sleep, time)
         self.keyed = KeyedRequests(settings.instance_id, self.incarnation, ports)
         self.outcomes.keyed = self.keyed
-        self.registry.on_replaced(self.outcomes.target_replaced)
+        self.registry.on_replaced(self.outcomes.record_target_replacement)
         self._session: ClientSession | None = None
         self._orders = make_order_service(
             OrderDeps(
@@ -339,7 +339,7 @@
         load = StopLoad(
             max(running, self.outcomes.open_requests),
             self.router.scheduler.waiting_requests(),
-            self.outcomes.unreported,
+            self.outcomes.unreported_claims,
         )
         delay_seconds = self.router.tree.fleet.balancer_delay_seconds
         self._stop.advance(load, delay_seconds, now_seconds)
--- a/sesameford/instance_status.py
+++ b/sesameford/instance_status.py
@@ -88,8 +88,10 @@
 ) -> tuple[QuarantineStatus, ...]:
     """Return the bodies that are refused, for how long and after how many deaths."""
     return tuple(
-        QuarantineStatus(row.body_digest.hex(), len(row.open_deaths), left_seconds)
-        for row, left_seconds in suspects.quarantined(now_seconds)
+        QuarantineStatus(
+            row.body_digest.hex(), len(row.uncleared_crashes), left_seconds
+        )
+        for row, left_seconds in suspects.list_quarantined(now_seconds)
     )
 
 
--- a/sesameford/metrics.py
+++ b/sesameford/metrics.py
@@ -81,12 +81,12 @@
         self.retry_budget_refusals.set({}, budget.refused)
         self.first_attempts.set({}, budget.first_attempts)
         self.resumed_streams.set({}, outcomes.resumes)
-        self.silent_connections.set({}, outcomes.silences)
-        self.target_deaths.set({}, outcomes.target_deaths)
-        self.suspected_bodies.set({}, outcomes.suspects.suspected())
-        quarantined = len(outcomes.suspects.quarantined(now_seconds))
+        self.silent_connections.set({}, outcomes.silent_connections)
+        self.target_deaths.set({}, outcomes.target_crashes)
+        self.suspected_bodies.set({}, outcomes.suspects.count_suspects())
+        quarantined = len(outcomes.suspects.list_quarantined(now_seconds))
         self.quarantined_bodies.set({}, quarantined)
-        self.unsettled_claims.set({}, outcomes.unreported)
+        self.unsettled_claims.set({}, outcomes.unreported_claims)
 
     def _counter(self, name: str, doc: str) -> Counter:
         return Counter(name, doc, registry=self.registry)
--- a/sesameford/outcomes.py
+++ b/sesameford/outcomes.py
@@ -7,7 +7,7 @@
 from sesameford.keyed import KeyedRequests
 from sesameford.messages import Outgoing, SuspectUpdate
 from sesameford.retries import RetryBudget, make_backoff
-from sesameford.suspects import Suspects, SuspectTreatment, name_death
+from sesameford.suspects import Suspects, SuspectTreatment, make_crash_id
 from sesameford.target_exclusion import TargetExclusion
 
 
@@ -25,17 +25,17 @@
         self.backoff_seconds = make_backoff(seed)
         self.suspects = Suspects(fleet.quarantine_seconds)
         self.on_targets = OnTargets()
-        self.gates = TargetExclusion()
+        self.target_exclusion = TargetExclusion()
         self.keyed: KeyedRequests | None = None
         self.open_requests = 0
-        self.target_deaths = 0
+        self.target_crashes = 0
         self.resumes = 0
-        self.silences = 0
+        self.silent_connections = 0
         self._send = send
         self._instances: frozenset[tuple[str, int]] = frozenset()
 
     @property
-    def unreported(self) -> int:
+    def unreported_claims(self) -> int:
         """Return how many claims the log has not yet heard the end of."""
         return self.keyed.unsettled if self.keyed is not None else 0
 
@@ -45,24 +45,28 @@
         lifted = [bytes.fromhex(digest) for digest in tree.fleet.lifted_digests]
         self.suspects.configure(tree.fleet.quarantine_seconds, lifted)
 
-    def standing(self, body_digest: bytes, now_seconds: float) -> SuspectTreatment:
+    def treatment(self, body_digest: bytes, now_seconds: float) -> SuspectTreatment:
         """Return how a request with this body is to be treated now."""
-        return self.suspects.standing(body_digest, now_seconds)
+        return self.suspects.treatment(body_digest, now_seconds)
 
-    def target_died(self, target_id: str, incarnation: int, now_seconds: float) -> None:
+    def record_target_crash(
+        self, target_id: str, incarnation: int, now_seconds: float
+    ) -> None:
         """Take a death that a refused fresh connection shows."""
-        self._take_deaths([self.on_targets.died(target_id, incarnation)], now_seconds)
+        self._record_crashes(
+            [self.on_targets.died(target_id, incarnation)], now_seconds
+        )
 
-    def target_replaced(
+    def record_target_replacement(
         self, target_id: str, incarnation: int, now_seconds: float
     ) -> None:
         """Take the deaths that the announcement of a new incarnation shows."""
         deaths = self.on_targets.replaced(target_id, incarnation)
-        self._take_deaths(deaths, now_seconds)
+        self._record_crashes(deaths, now_seconds)
 
-    def received(self, news: SuspectUpdate, now_seconds: float) -> None:
+    def merge_suspect_update(self, news: SuspectUpdate, now_seconds: float) -> None:
         """Take another router's news of a suspect."""
-        self.suspects.received(news, now_seconds)
+        self.suspects.merge_update(news, now_seconds)
 
     def tick(self, instances: frozenset[tuple[str, int]], now_seconds: float) -> None:
         """Tell other routers what they may not know; forget what is old.
@@ -73,26 +77,26 @@
         """
         # A router that was cut off or restarts empty has missed what was said.
         if instances - self._instances:
-            self.suspects.repeat_all()
+            self.suspects.schedule_all_updates()
         self._instances = instances
         self.on_targets.tick(now_seconds)
         self.suspects.tick(now_seconds)
-        self.tell(now_seconds)
+        self.send_suspect_updates(now_seconds)
 
-    def tell(self, now_seconds: float) -> None:
+    def send_suspect_updates(self, now_seconds: float) -> None:
         """Send the news of suspects that is due."""
-        for news in self.suspects.news(now_seconds):
+        for news in self.suspects.make_due_updates(now_seconds):
             self._send(Outgoing(None, news, urgent=True))
 
-    def _take_deaths(self, deaths: Sequence[Death], now_seconds: float) -> None:
+    def _record_crashes(self, deaths: Sequence[Death], now_seconds: float) -> None:
         for death in deaths:
             if not death.body_digests:
                 continue
-            self.target_deaths += 1
-            name = name_death(death.target_id, death.incarnation)
-            self.suspects.died(name, death.body_digests, now_seconds)
+            self.target_crashes += 1
+            name = make_crash_id(death.target_id, death.incarnation)
+            self.suspects.record_crash(name, death.body_digests, now_seconds)
         # At once, for the caller may send the same again through another router.
-        self.tell(now_seconds)
+        self.send_suspect_updates(now_seconds)
 
 
 def make_outcomes() -> Outcomes:
--- a/sesameford/relay.py
+++ b/sesameford/relay.py
@@ -314,11 +314,11 @@
 ) -> None:
     """Wait until the attempt may run: a suspect alone, all others together."""
     digest = call.request.body_digest
-    gates = deps.outcomes.gates
+    gates = deps.outcomes.target_exclusion
     left_seconds = max(history.deadline_at_seconds - deps.now(), 0.0)
     try:
         async with asyncio.timeout(left_seconds):
-            if deps.outcomes.standing(digest, deps.now()) is SuspectTreatment.CLEAR:
+            if deps.outcomes.treatment(digest, deps.now()) is SuspectTreatment.CLEAR:
                 gate = gates.run_shared(attempt.target_id)
             else:
                 gate = gates.run_exclusive(attempt.target_id, digest)
--- a/sesameford/relay_deps.py
+++ b/sesameford/relay_deps.py
@@ -69,7 +69,9 @@
         self.router.registry.suspend(target.target_id, target.incarnation, now_seconds)
         self.router.refresh_targets()
         if probe is Probe.REFUSED:
-            self.outcomes.target_died(target.target_id, target.incarnation, now_seconds)
+            self.outcomes.record_target_crash(
+                target.target_id, target.incarnation, now_seconds
+            )
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,7 +105,7 @@
     """End an attempt and count its cost."""
     if outcome is Outcome.RAN:
         deps.outcomes.on_targets.ended(attempt.attempt_id)
-        deps.outcomes.suspects.completed(call.request.body_digest, deps.now())
+        deps.outcomes.suspects.record_completion(call.request.body_digest, deps.now())
         deps.router.registry.proved(attempt.target_id)
     elif outcome is Outcome.UNKNOWN:
         # It may still crash its target after its caller went away.
--- a/sesameford/service_run.py
+++ b/sesameford/service_run.py
@@ -87,7 +87,7 @@
         await asyncio.wait({exchange}, timeout=left_seconds)
         if exchange.done():
             return
-        deps.outcomes.silences += 1
+        deps.outcomes.silent_connections += 1
         probe = await probe_target(target.url)
         if exchange.done():
             return
--- a/tests/faults_fixture.py
+++ b/tests/faults_fixture.py
@@ -108,7 +108,7 @@
             KeyedPorts(self.world.log.propose, self.world.ask, self.world.sleep, time),
         )
         self.outcomes.keyed = self.keyed
-        self.router.registry.on_replaced(self.outcomes.target_replaced)
+        self.router.registry.on_replaced(self.outcomes.record_target_replacement)
         tree = effective_tree(parse_tree(TREE, "tree.yaml"), 1)
         self.router.configure(tree)
         self.outcomes.configure(tree)
@@ -164,7 +164,7 @@
     def spread(self, outgoing):
         if isinstance(outgoing.message, SuspectUpdate):
             for router in self.routers:
-                router.outcomes.received(outgoing.message, monotonic())
+                router.outcomes.merge_suspect_update(outgoing.message, monotonic())
 
     async def ask(self, owner, claim_index):
         for router in self.routers:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -361,7 +361,7 @@
         assert len(died) == 2
         assert outcomes == ["unknown"] + ["not-run"] * 19
         for router in world.routers:
-            assert router.outcomes.suspects.suspected() == 1
+            assert router.outcomes.suspects.count_suspects() == 1
 
 
 async def test_a_stop_hands_back_only_what_never_ran():
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -5,16 +5,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sesameford.suspects import Suspects, SuspectTreatment, name_death
+from sesameford.suspects import Suspects, SuspectTreatment, make_crash_id
 
 POISON = b"poison"
 
 
 def spread(routers, now_seconds):
     for sender in routers:
-        for news in sender.news(now_seconds):
+        for news in sender.make_due_updates(now_seconds):
             for receiver in routers:
-                receiver.received(news, now_seconds)
+                receiver.merge_update(news, now_seconds)
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
@@ -32,22 +32,22 @@
     innocents = [b"innocent-%d" % number for number in range(company)]
     for number, entry in enumerate(entries):
         now_seconds = float(number)
-        standing = routers[entry].standing(POISON, now_seconds)
+        standing = routers[entry].treatment(POISON, now_seconds)
         if standing is not SuspectTreatment.QUARANTINED:
             lost += 1
-            death = name_death("t", next(incarnation))
+            death = make_crash_id("t", next(incarnation))
             alone = standing is SuspectTreatment.SUSPECT
-            routers[entry].died(death, [POISON], now_seconds)
+            routers[entry].record_crash(death, [POISON], now_seconds)
             if not alone:
-                routers[(entry + 1) % 4].died(death, innocents, now_seconds)
+                routers[(entry + 1) % 4].record_crash(death, innocents, now_seconds)
         spread(routers, now_seconds)
     assert lost == 2
     for router in routers:
-        assert router.standing(POISON, 20.0) is SuspectTreatment.QUARANTINED
+        assert router.treatment(POISON, 20.0) is SuspectTreatment.QUARANTINED
         for innocent in innocents:
-            assert router.standing(innocent, 20.0) is SuspectTreatment.SUSPECT
-            router.completed(innocent, 20.0)
-            assert router.standing(innocent, 20.0) is SuspectTreatment.CLEAR
+            assert router.treatment(innocent, 20.0) is SuspectTreatment.SUSPECT
+            router.record_completion(innocent, 20.0)
+            assert router.treatment(innocent, 20.0) is SuspectTreatment.CLEAR
 
 
 def test_two_suspects_on_one_target_are_told_apart_before_one_is_refused():
@@ -55,26 +55,26 @@
     of the two requests is innocent, and refusing it would punish its caller."""
     suspects = Suspects(300.0)
     for death in ("t/1", "t/2"):
-        suspects.died(death, [POISON, b"innocent"], 0.0)
-    assert suspects.standing(POISON, 1.0) is SuspectTreatment.SUSPECT
-    assert suspects.standing(b"innocent", 1.0) is SuspectTreatment.SUSPECT
-    suspects.completed(b"innocent", 2.0)
-    suspects.died("t/3", [POISON], 3.0)
-    assert suspects.standing(b"innocent", 4.0) is SuspectTreatment.CLEAR
-    assert suspects.standing(POISON, 4.0) is SuspectTreatment.QUARANTINED
+        suspects.record_crash(death, [POISON, b"innocent"], 0.0)
+    assert suspects.treatment(POISON, 1.0) is SuspectTreatment.SUSPECT
+    assert suspects.treatment(b"innocent", 1.0) is SuspectTreatment.SUSPECT
+    suspects.record_completion(b"innocent", 2.0)
+    suspects.record_crash("t/3", [POISON], 3.0)
+    assert suspects.treatment(b"innocent", 4.0) is SuspectTreatment.CLEAR
+    assert suspects.treatment(POISON, 4.0) is SuspectTreatment.QUARANTINED
 
 
 def test_a_quarantine_ends_doubles_and_can_be_lifted():
     suspects = Suspects(300.0)
     for death in ("t/1", "t/2"):
-        suspects.died(death, [POISON], 0.0)
-    ((row, left_seconds),) = suspects.quarantined(100.0)
+        suspects.record_crash(death, [POISON], 0.0)
+    ((row, left_seconds),) = suspects.list_quarantined(100.0)
     assert (row.body_digest, left_seconds) == (POISON, 200.0)
-    assert suspects.standing(POISON, 301.0) is SuspectTreatment.SUSPECT
-    suspects.died("t/3", [POISON], 302.0)
+    assert suspects.treatment(POISON, 301.0) is SuspectTreatment.SUSPECT
+    suspects.record_crash("t/3", [POISON], 302.0)
     assert suspects.quarantine_left_seconds(POISON, 302.0) == 600.0
     suspects.configure(300.0, lifted=[POISON])
-    assert suspects.standing(POISON, 303.0) is SuspectTreatment.CLEAR
+    assert suspects.treatment(POISON, 303.0) is SuspectTreatment.CLEAR
 
 
 _STEPS = st.lists(
@@ -96,28 +96,28 @@
     routers = [Suspects(300.0) for _ in range(3)]
     for kind, entry, digest, death in steps:
         if kind == "died":
-            routers[entry].died(f"t/{death}", [digest], 0.0)
+            routers[entry].record_crash(f"t/{death}", [digest], 0.0)
         else:
-            routers[entry].completed(digest, 0.0)
+            routers[entry].record_completion(digest, 0.0)
     for router in routers:
-        router.repeat_all()
+        router.schedule_all_updates()
     mail = [
         (receiver, news)
         for sender in routers
-        for news in sender.news(1.0)
+        for news in sender.make_due_updates(1.0)
         for receiver in routers
     ]
     mail += random.sample(mail, len(mail) // 2)
     random.shuffle(mail)
     for receiver, news in mail:
-        receiver.received(news, 1.0)
+        receiver.merge_update(news, 1.0)
     for digest in (b"a", b"b", b"c"):
-        assert len({router.standing(digest, 2.0) for router in routers}) == 1
+        assert len({router.treatment(digest, 2.0) for router in routers}) == 1
 
 
 def test_the_table_is_bounded():
     suspects = Suspects(300.0, max_suspects=10)
-    suspects.died("t/1", [b"%d" % number for number in range(100)], 0.0)
+    suspects.record_crash("t/1", [b"%d" % number for number in range(100)], 0.0)
     known = [b"%d" % number for number in range(100)]
-    standings = [suspects.standing(digest, 1.0) for digest in known]
+    standings = [suspects.treatment(digest, 1.0) for digest in known]
     assert standings.count(SuspectTreatment.SUSPECT) == 10
