--- a/sesameford/admission.py
+++ b/sesameford/admission.py
@@ -1,4 +1,4 @@
-"""Admission to a router's queues: bounded per customer and in all."""
+"""Admission control of a router's queues, per customer and in total."""
 
 from sesameford.effective import CustomerSettings
 from sesameford.errors import NotRunError
@@ -13,25 +13,25 @@
     queues: Queues,
     retry_after_seconds: float,
 ) -> None:
-    """Refuse what the customer's or the router's queues can't hold.
+    """Refuse a request that exceeds the customer's or the router's queue limits.
 
     Args:
         request: The request.
-        settings: Its customer's.
-        queued_limit_bytes: Of the whole router.
-        queues: What waits.
-        retry_after_seconds: When room is likely.
+        settings: The settings of its customer.
+        queued_limit_bytes: The limit of all queues of the router together.
+        queues: The router's queues.
+        retry_after_seconds: When the queue likely has spare capacity again.
 
     Raises:
-        NotRunError: The customer is suspended, or there is no room.
+        NotRunError: The customer is suspended, or a queue is full.
     """
     if settings.suspended:
         raise NotRunError("suspended", "The customer is suspended.", 403)
     limits = settings.limits
     customer = request.customer_id
     queued_bytes = queues.bytes_of(customer) + request.body_bytes
-    full = queues.requests_of(customer) >= limits.queued_requests
-    if full or queued_bytes > limits.queued_bytes:
+    is_full = queues.requests_of(customer) >= limits.queued_requests
+    if is_full or queued_bytes > limits.queued_bytes:
         raise NotRunError(
             "queue-full",
             "The customer's queue at this router is full.",
@@ -39,10 +39,10 @@
             retry_after_seconds,
         )
     total = queues.total_bytes() + request.body_bytes
-    # A flood may fill the room that nobody else uses, and no more: the half that
-    # is kept lets each other customer up to an even part of the whole.
-    even = queued_limit_bytes / (queues.customers() + 1)
-    if total > queued_limit_bytes / 2 and queued_bytes > even:
+    # Once half of the limit is used, each customer is admitted only up to an even
+    # share. One customer's burst can't fill the half that the others need.
+    even_share_bytes = queued_limit_bytes / (queues.customers() + 1)
+    if total > queued_limit_bytes / 2 and queued_bytes > even_share_bytes:
         raise NotRunError(
             "router-full",
             "The queues of this router are full.",
--- a/sesameford/regular_run.py
+++ b/sesameford/regular_run.py
@@ -1,4 +1,4 @@
-"""Runs an instance's systems again and again, whatever one turn of them does."""
+"""Runs a callback periodically, even if one of its calls fails."""
 
 import logging
 from asyncio import sleep
@@ -8,12 +8,17 @@
 
 
 async def run_regularly(every_seconds: float, system: Callable[[], None]) -> None:
-    """Call a system after each so many seconds, until cancelled."""
+    """Call a system periodically until cancelled.
+
+    Args:
+        every_seconds: The pause before each call.
+        system: The callback; an exception that it raises is logged.
+    """
     while True:
         await sleep(every_seconds)
         try:
             system()
         except Exception:
-            # One broken turn must not end all later ones: the instance would look
-            # alive and decide nothing any more.
-            logger.exception("a system failed")
+            # One failed call must not end the loop: the instance would still look
+            # alive, but would make no decisions any more.
+            logger.exception("a periodic call failed")
--- a/sesameford/router.py
+++ b/sesameford/router.py
@@ -1,4 +1,4 @@
-"""Joins callers that wait with the scheduler's decisions."""
+"""Delivers the scheduler's decisions to the callers that wait for them."""
 
 import asyncio
 import logging
@@ -20,7 +20,7 @@
 
 
 class Router:
-    """The tables of one instance and the waits of its callers."""
+    """The tables of one instance and the futures of its waiting callers."""
 
     def __init__(
         self,
@@ -43,18 +43,18 @@
         self._targets: dict[str, Target] = {}
         self._running: Counter[tuple[str, str]] = Counter()
         self._unit_of: dict[str, tuple[str, str]] = {}
-        self._pump_is_due = False
+        self._decision_is_due = False
         self._retrying: set[str] = set()
 
     def configure(self, tree: EffectiveTree) -> None:
-        """Take a tree into force."""
+        """Apply a tree of settings."""
         self.tree = tree
         self.metrics.revision.set({}, tree.revision)
         self.scheduler.configure(tree, self._now())
         self.schedule_decision()
 
     def find_target(self, attempt: Attempt) -> Target | None:
-        """Return the target of an attempt while it is the same incarnation."""
+        """Return the target of an attempt, or None if it left or restarted."""
         target = self._targets.get(attempt.target_id)
         if target is None or target.incarnation != attempt.target_incarnation:
             return None
@@ -64,50 +64,50 @@
         """Queue a request and wait until it may run.
 
         Raises:
-            NotRunError: A limit is reached, or the deadline passed while it waited.
+            NotRunError: A limit is reached, or the deadline passed during the wait.
         """
         self.scheduler.submit(request, self._now())
-        return await self._wait(request)
+        return await self._wait_for_attempt(request)
 
     async def next_attempt(
         self, request: Request, attempt: Attempt, reason: str
     ) -> Attempt:
-        """Queue a request again whose attempt did not run, and wait.
+        """Queue a request again after a failed attempt, and wait until it may run.
 
         Raises:
-            NotRunError: The deadline passed while it waited.
+            NotRunError: The deadline passed during the wait.
         """
         self.metrics.retries.inc({"reason": reason})
-        self._count_out(attempt)
+        self._remove_running(attempt)
         self.scheduler.retried(attempt.attempt_id, attempt.target_id, self._now())
         self._retrying.add(request.request_id)
         try:
-            return await self._wait(request)
+            return await self._wait_for_attempt(request)
         finally:
             self._retrying.discard(request.request_id)
 
     def settle(self, attempt: Attempt, usage: Usage, outcome: Outcome) -> None:
-        """End an attempt and free its place."""
-        self._count_out(attempt)
+        """End an attempt and free its slot."""
+        self._remove_running(attempt)
         self.scheduler.settled(attempt.attempt_id, usage, outcome, self._now())
         self.schedule_decision()
 
     def record_progress(self, attempt: Attempt, usage: Usage) -> None:
-        """Tell the scheduler what a running attempt has used so far."""
+        """Report to the scheduler what a running attempt has used so far."""
         self.scheduler.progressed(attempt.attempt_id, usage, self._now())
 
     def running_by_target(self) -> dict[str, int]:
-        """Return how many attempts run from here, by target."""
+        """Return the number of this router's running attempts by target."""
         by_target: Counter[str] = Counter()
         for (target_id, _), running in self._running.items():
             by_target[target_id] += running
         return dict(by_target)
 
     def running_of(self, target_id: str, resource: str) -> int:
-        """Return how many attempts of a model or service run from here on a target."""
+        """Return this router's running attempts of a model or service on a target."""
         return self._running[(target_id, resource)]
 
-    def _count_out(self, attempt: Attempt) -> None:
+    def _remove_running(self, attempt: Attempt) -> None:
         unit = self._unit_of.pop(attempt.attempt_id, None)
         if unit is not None:
             self._running[unit] -= 1
@@ -115,13 +115,13 @@
                 del self._running[unit]
 
     def schedule_decision(self) -> None:
-        """Decide soon, once for all events of this turn of the loop."""
-        if not self._pump_is_due:
-            self._pump_is_due = True
-            asyncio.get_running_loop().call_soon(self._pump)
+        """Schedule one decision for all events of this event loop iteration."""
+        if not self._decision_is_due:
+            self._decision_is_due = True
+            asyncio.get_running_loop().call_soon(self._run_decision)
 
     def refresh_targets(self) -> None:
-        """Take at once who may get new work, not only with the next tick."""
+        """Update which targets may get new work, without waiting for the next tick."""
         now_seconds = self._now()
         self._targets = self.registry.usable(
             self.tree.targets, now_seconds, self.tree.evacuated_data_centres
@@ -129,7 +129,7 @@
         self.scheduler.observe_targets(self._targets, now_seconds)
 
     def tick(self) -> None:
-        """Bring the tables up to date and decide."""
+        """Update the tables, refuse expired requests and schedule a decision."""
         now_seconds = self._now()
         self.registry.tick(now_seconds)
         self.refresh_targets()
@@ -144,7 +144,7 @@
                 request_id,
                 NotRunError(
                     "deadline",
-                    "no place became free before the deadline",
+                    "no slot became free before the deadline",
                     503,
                     DEADLINE_RETRY_SECONDS,
                 ),
@@ -152,16 +152,16 @@
         self.schedule_decision()
 
     def refuse_waiting_requests(self, error: NotRunError) -> None:
-        """Hand back the waiting requests as not run, for a planned stop.
+        """Refuse the waiting requests as not run, for a planned stop.
 
-        One whose earlier attempt failed waits on: handed back it would have to be
-        told that it may have run, and the stop would have cut it.
+        A request whose earlier attempt failed continues to wait: it may have run,
+        so refusing it here would give its caller an unknown outcome.
         """
         for request_id in set(self._waiters) - self._retrying:
             self.scheduler.withdraw(request_id, self._now())
             self._refuse(request_id, error)
 
-    async def _wait(self, request: Request) -> Attempt:
+    async def _wait_for_attempt(self, request: Request) -> Attempt:
         loop = asyncio.get_running_loop()
         waiter: asyncio.Future[Attempt] = loop.create_future()
         self._waiters[request.request_id] = waiter
@@ -170,9 +170,9 @@
         try:
             return await waiter
         except asyncio.CancelledError:
-            # The caller went away. Where its place was given in the same turn of
-            # the loop, the attempt would count as running for ever and the slot be
-            # lost, so it is ended here.
+            # The caller disconnected. If the request got a slot in the same event
+            # loop iteration, the attempt is ended here; it would otherwise count as
+            # running for ever and the slot would be lost.
             self.scheduler.withdraw(request.request_id, self._now())
             if waiter.done() and not waiter.cancelled() and not waiter.exception():
                 self.settle(waiter.result(), Usage(), Outcome.NOT_RUN)
@@ -186,8 +186,8 @@
         if waiter is not None and not waiter.done():
             waiter.set_exception(error)
 
-    def _pump(self) -> None:
-        self._pump_is_due = False
+    def _run_decision(self) -> None:
+        self._decision_is_due = False
         now_seconds = self._now()
         for attempt in self.scheduler.decide(now_seconds):
             waiter = self._waiters.get(attempt.request_id)
