--- a/sesameford/answers.py
+++ b/sesameford/answers.py
@@ -1,16 +1,16 @@
-"""Whether an answer is whole, and its own.
+"""Checks whether an answer is complete.
 
-A broken connection looks much like an ended one: a proxy that dies ends the
-bytes early, and an event stream without its end mark parses well. A cut answer
-told as complete is the worst of failures, for nobody looks again. So an answer
-counts as complete only when its length or its end mark was seen.
+A broken connection looks much like a finished one: a proxy that crashes ends the
+bytes early, and an event stream without its end mark still parses. A truncated
+answer that is reported as complete is the worst failure, because no caller checks
+it again. So an answer is complete only if its full length or its end mark arrived.
 """
 
 from enum import StrEnum
 
 
 class Completeness(StrEnum):
-    """What is known of an answer when its bytes end."""
+    """Whether an answer is complete when its bytes end."""
 
     COMPLETE = "complete"
     CUT = "cut"
@@ -24,17 +24,17 @@
     chunked_end_seen: bool,
     received_bytes: int,
 ) -> Completeness:
-    """Judge a plain answer whose bytes have ended.
+    """Return whether a plain answer whose bytes have ended is complete.
 
     Args:
-        content_length: The length its head promised, if any.
-        chunked: Whether it came in chunks.
-        chunked_end_seen: Whether the last, empty chunk came.
-        received_bytes: What came of the body.
+        content_length: The ``Content-Length`` of its headers, if any.
+        chunked: Whether the body uses the chunked transfer coding.
+        chunked_end_seen: Whether the last, empty chunk arrived.
+        received_bytes: The bytes of the body that arrived.
 
     Returns:
-        ``UNMARKED`` where the head gives neither a length nor chunks: then the
-        end of the connection is the only sign, and that also comes of a crash.
+        ``UNMARKED`` if the headers give neither a length nor chunks: then the end
+        of the connection is the only sign of the end, and a crash looks the same.
     """
     if chunked:
         return Completeness.COMPLETE if chunked_end_seen else Completeness.CUT
@@ -42,17 +42,17 @@
         return Completeness.UNMARKED
     if received_bytes > content_length:
         return Completeness.TOO_LONG
-    whole = received_bytes == content_length
-    return Completeness.COMPLETE if whole else Completeness.CUT
+    is_complete = received_bytes == content_length
+    return Completeness.COMPLETE if is_complete else Completeness.CUT
 
 
 def judge_stream(done: bool, usage_seen: bool, in_order: bool) -> Completeness:
-    """Judge a stream of events whose connection has ended.
+    """Return whether a stream of events is complete.
 
     Args:
-        done: Whether its end mark came.
-        usage_seen: Whether the engine's own figures came before that.
-        in_order: Whether every event followed the one before it.
+        done: Whether its end mark arrived.
+        usage_seen: Whether the engine's token usage arrived before the end mark.
+        in_order: Whether no event was missing or repeated.
     """
-    whole = done and usage_seen and in_order
-    return Completeness.COMPLETE if whole else Completeness.CUT
+    is_complete = done and usage_seen and in_order
+    return Completeness.COMPLETE if is_complete else Completeness.CUT
--- a/sesameford/event_stream.py
+++ b/sesameford/event_stream.py
@@ -1,7 +1,7 @@
-"""Server-sent events of a model engine, cut into whole events as bytes pass.
+"""Splits a model engine's byte stream into complete server-sent events.
 
-A router passes thousands of tokens a second on, so bytes are searched, not parsed:
-only the events that carry usage are decoded.
+A router relays thousands of tokens a second, so the bytes are searched and not
+parsed: only the events that carry usage are decoded.
 """
 
 from msgspec import DecodeError
@@ -18,12 +18,12 @@
 
 
 class EventStream:
-    """What has passed of one stream.
+    """The state of one event stream.
 
-    ``last_event_id`` is -1 before the first event; ``is_done`` says that the end
-    mark was seen, without which the answer is cut. ``in_order`` turns False where an
-    event is missing or comes twice: after a resume on another connection the text
-    would lack a sentence or repeat one, and still end with its mark.
+    ``last_event_id`` is -1 before the first event. ``is_done`` is True once the end
+    mark arrived; without it the answer is truncated. ``in_order`` turns False if an
+    event is missing or repeated: after a resume on another connection, such a stream
+    lacks or repeats text and still ends with its mark.
     """
 
     def __init__(self) -> None:
@@ -35,38 +35,38 @@
         self.usage: Usage | None = None
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes as they come and return those that end whole events.
+        """Add received bytes and return those that complete events.
 
-        A connection may break inside an event. Half of one passed on could not be
-        taken back when the stream is resumed elsewhere, so the caller would read
-        broken text; half events are held until their end has come.
+        A connection may break inside an event. A relayed partial event can't be
+        retracted when the stream is resumed, and the caller would read broken text,
+        so a partial event is buffered until its end arrives.
         """
         buffer = self._rest + data
-        cut = buffer.rfind(_END)
-        if cut < 0:
+        end = buffer.rfind(_END)
+        if end < 0:
             self._rest = buffer
             return b""
-        cut += len(_END)
-        ready, self._rest = buffer[:cut], buffer[cut:]
-        self._look_into(ready)
+        end += len(_END)
+        ready, self._rest = buffer[:end], buffer[end:]
+        self._inspect_events(ready)
         return ready
 
     def drop_partial(self) -> None:
-        """Forget a half event, because its connection is gone."""
+        """Drop the buffered partial event after its connection ended."""
         self._rest = b""
 
     @property
     def held_bytes(self) -> int:
-        """Return the size of the half event that is held."""
+        """Return the size of the buffered partial event."""
         return len(self._rest)
 
     def usage_so_far(self, prompt_tokens: int) -> Usage:
-        """Return the engine's own figures, or what the events passed suggest."""
+        """Return the usage that the engine reported, or an estimate from the events."""
         return self.usage or Usage(
             prompt_tokens=prompt_tokens, output_tokens=self.event_count
         )
 
-    def _look_into(self, ready: bytes) -> None:
+    def _inspect_events(self, ready: bytes) -> None:
         self.event_count += ready.count(_END)
         before = self.last_event_id
         self._find_last_id(ready)
@@ -97,7 +97,7 @@
 
 
 def _usage_of(encoded: bytes) -> Usage | None:
-    """Return the usage in one event's JSON, if it is there."""
+    """Return the usage in one event's JSON, or None."""
     try:
         event = decode(encoded)
     except DecodeError:
@@ -115,5 +115,5 @@
 
 
 def _count(value: object) -> int:
-    """Return a token count, 0 for anything that is none."""
+    """Return a token count, or 0 if the value is no positive integer."""
     return value if isinstance(value, int) and value > 0 else 0
--- a/sesameford/read_watch.py
+++ b/sesameford/read_watch.py
@@ -1,4 +1,4 @@
-"""Notices a connection on which nothing comes, with one timer for all its reads."""
+"""Detects a silent connection, with one timer for all its reads."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,17 +7,17 @@
 
 
 class ReadWatch:
-    """Reads from a target and gives up where the connection is silent.
+    """Reads from a target and raises TimeoutError if the connection is silent.
 
-    A timeout around each read would be set and taken back for every few tokens. The
-    one timer here looks, when it fires, how long the present read has waited. Only
-    that counts: while a slow caller takes its time nothing is read, and the target
-    is not to blame.
+    A timeout around each read would be set and cancelled every few tokens. Here one
+    timer checks, when it fires, how long the present read has waited. Only time
+    inside a read counts: while the caller reads slowly nothing is read from the
+    target, and the target is not the cause.
 
     Args:
-        content: What is read.
-        silent_at_seconds: When a read that began at a time counts as silent.
-        now: The present time in seconds.
+        content: The body of the target's response.
+        silent_at_seconds: Returns when a read counts as silent, given its start.
+        now: Returns the present time in seconds.
     """
 
     def __init__(
@@ -29,38 +29,38 @@
         self._content = content
         self._silent_at_seconds = silent_at_seconds
         self._now = now
-        self._reading_since_seconds: float | None = None
+        self._read_started_at_seconds: float | None = None
         self._timer: asyncio.TimerHandle | None = None
 
     async def read(self) -> bytes:
-        """Return what has come, empty at the end.
+        """Return the bytes that have arrived, empty at the end.
 
         Raises:
-            TimeoutError: Nothing came for too long.
+            TimeoutError: No data arrived for too long.
             ClientError: The connection broke.
         """
-        self._reading_since_seconds = self._now()
+        self._read_started_at_seconds = self._now()
         if self._timer is None:
-            self._look()
+            self._check_silence()
         try:
             return await self._content.readany()
         finally:
-            self._reading_since_seconds = None
+            self._read_started_at_seconds = None
 
     def close(self) -> None:
         """Stop watching."""
         if self._timer is not None:
             self._timer.cancel()
 
-    def _look(self) -> None:
-        """End a read that has waited for too long, or look again when it will have."""
+    def _check_silence(self) -> None:
+        """Fail a read that has waited for too long, or schedule the next check."""
         self._timer = None
-        if self._reading_since_seconds is None:
+        if self._read_started_at_seconds is None:
             return
-        until_seconds = self._silent_at_seconds(self._reading_since_seconds)
+        until_seconds = self._silent_at_seconds(self._read_started_at_seconds)
         left_seconds = until_seconds - self._now()
         if left_seconds <= 0:
-            self._content.set_exception(TimeoutError("nothing came"))
+            self._content.set_exception(TimeoutError("no data arrived"))
             return
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(left_seconds, self._look)
+        self._timer = loop.call_later(left_seconds, self._check_silence)
--- a/tests/test_event_stream.py
+++ b/tests/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Bytes of a stream pass only as whole events, whatever the cuts between them."""
+"""A byte stream is relayed only as complete events, however its reads are split."""
 
 from itertools import pairwise
 
@@ -19,10 +19,10 @@
 
 @settings(derandomize=True, max_examples=200)
 @given(st.lists(st.integers(0, len(STREAM)), max_size=6))
-def test_cuts_between_reads_change_nothing(cuts):
+def test_any_split_into_reads_gives_the_same_events(cuts):
     events = EventStream()
-    places = [0, *sorted(cuts), len(STREAM)]
-    passed = [events.feed(STREAM[start:end]) for start, end in pairwise(places)]
+    positions = [0, *sorted(cuts), len(STREAM)]
+    passed = [events.feed(STREAM[start:end]) for start, end in pairwise(positions)]
     assert b"".join(passed) == STREAM
     assert all(part.endswith(b"\n\n") for part in passed if part)
     assert events.is_done
@@ -32,11 +32,11 @@
 
 @settings(derandomize=True, max_examples=200)
 @given(st.integers(0, len(STREAM) - 1))
-def test_a_cut_stream_is_never_taken_for_whole(cut):
+def test_a_truncated_stream_is_never_complete(cut):
     """A connection breaks in the middle of an answer.
 
-    The caller would take half a letter for the whole one if the router called the
-    stream complete without its end mark.
+    If the stream counted as complete without its end mark, the caller would accept
+    a truncated answer.
     """
     events = EventStream()
     passed = events.feed(STREAM[:cut])
@@ -47,7 +47,7 @@
 
 @settings(derandomize=True, max_examples=200)
 @given(st.binary(max_size=100))
-def test_no_bytes_break_the_reader(data):
+def test_arbitrary_bytes_do_not_break_the_reader(data):
     events = EventStream()
     passed = events.feed(b"data: " + data + b"\n\n")
     assert passed
