--- a/sesameford/suspects.py
+++ b/sesameford/suspects.py
@@ -1,15 +1,15 @@
-"""Requests that crash the targets that run them, found by what died with them.
-
-When a target dies without a leave, each body that was in flight on it becomes a
-suspect. A suspect runs alone; a completion clears it; one that was in flight at
-two deaths is quarantined for a time. What routers know merges as sets, so the
-news may come late, twice and in any order.
-
-Resent one after another, one such request costs at most two targets in the
-whole fleet before it is quarantined, or three where another suspect ran on the
-second target at the same moment; then one more per quarantine, and each
-quarantine lasts twice as long as the last. Copies that already run at the first
-death, or start before the news of it arrives, cost a target each besides.
+"""Finds request bodies that crash targets, and quarantines them.
+
+When a target crashes (ends without a leave), each body that was in flight on it
+becomes a suspect. A suspect runs alone on its target; a completion clears it; two
+crashes quarantine it for a time. The routers' tables merge as sets, so updates may
+arrive late, twice and in any order.
+
+A crashing request that is resent one at a time costs at most two targets in the
+whole fleet before it is quarantined, or three if another suspect ran on the second
+target at the same time. After that it costs one target per quarantine, and each
+quarantine lasts twice as long as the one before. Copies that already run at the
+first crash, or start before its update arrives, cost one more target each.
 """
 
 from collections.abc import Collection, Iterable, Sequence
@@ -28,7 +28,7 @@
 
 
 class SuspectTreatment(StrEnum):
-    """How a request is treated because of the deaths behind its body."""
+    """How a request is treated because of the crashes that involve its body."""
 
     CLEAR = "clear"
     SUSPECT = "suspect"
@@ -37,14 +37,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Suspect:
-    """A body that was in flight at the death of a target.
+    """A body that was in flight when a target crashed.
 
-    ``quarantined_at_seconds`` is when this router first saw the present number
-    of deaths call for it. News is said again a few times, as links lose.
+    ``quarantined_at_seconds`` is when this router first found that the present
+    number of crashes requires a quarantine. ``updates_left`` counts the updates
+    still to be sent to other routers: each is repeated, because links lose messages.
     """
 
     body_digest: bytes
-    deaths: frozenset[str]
+    crashes: frozenset[str]
     cleared_crashes: frozenset[str]
     last_seen_at_seconds: float
     quarantined_at_seconds: float | None = None
@@ -53,16 +54,16 @@
 
     @property
     def uncleared_crashes(self) -> frozenset[str]:
-        """The deaths that no completion has cleared."""
-        return self.deaths - self.cleared_crashes
+        """The crashes that no completion has cleared."""
+        return self.crashes - self.cleared_crashes
 
 
 class Suspects:
-    """The suspects that this router knows of.
+    """This router's table of suspects.
 
     Args:
         quarantine_seconds: How long the first quarantine of a body lasts.
-        max_suspects: Bound on the rows; the one heard of longest ago goes first.
+        max_suspects: Bound on the rows; the least recently updated is dropped first.
     """
 
     def __init__(
@@ -71,40 +72,40 @@
         self._quarantine_seconds = quarantine_seconds
         self._max_suspects = max_suspects
         self._rows: dict[bytes, Suspect] = {}
-        # The few with deaths enough for a quarantine, so that the death of a
-        # target with hundreds of requests does not compare all with all.
+        # The few suspects with enough crashes for a quarantine. Only these are
+        # compared with each other, as a crash may add hundreds of suspects at once.
         self._repeated: set[bytes] = set()
         self._lifted: frozenset[bytes] = frozenset()
 
     def configure(self, quarantine_seconds: float, lifted: Iterable[bytes]) -> None:
-        """Take the tree's word: how long, and which bodies the operators lift."""
+        """Apply the settings: the quarantine's length and the lifted bodies."""
         self._quarantine_seconds = quarantine_seconds
         self._lifted = frozenset(lifted)
 
     def record_crash(
-        self, death: str, in_flight: Collection[bytes], now_seconds: float
+        self, crash_id: str, in_flight: Collection[bytes], now_seconds: float
     ) -> None:
-        """Suspect every body that was in flight on a target that died.
+        """Add a crash to every body that was in flight on the target.
 
         Args:
-            death: The target and its incarnation, see `make_crash_id`.
-            in_flight: The digests of the bodies that this router had there.
+            crash_id: The target and its incarnation, see `make_crash_id`.
+            in_flight: The digests of this router's bodies on the target.
             now_seconds: The present time.
         """
         for digest in in_flight:
-            self._merge(digest, frozenset({death}), frozenset(), now_seconds)
+            self._merge(digest, frozenset({crash_id}), frozenset(), now_seconds)
 
     def record_completion(self, digest: bytes, now_seconds: float) -> None:
-        """Clear a body that a target ran to its end."""
+        """Clear a body that a target ran to completion."""
         row = self._rows.get(digest)
         if row is not None and row.uncleared_crashes:
-            self._merge(digest, frozenset(), row.deaths, now_seconds)
+            self._merge(digest, frozenset(), row.crashes, now_seconds)
 
-    def merge_update(self, news: SuspectUpdate, now_seconds: float) -> None:
-        """Merge what another router knows."""
-        deaths = frozenset(news.deaths)
-        cleared = deaths if news.cleared else frozenset()
-        self._merge(news.body_digest, deaths, cleared, now_seconds)
+    def merge_update(self, update: SuspectUpdate, now_seconds: float) -> None:
+        """Merge another router's row of a suspect."""
+        crashes = frozenset(update.deaths)
+        cleared = crashes if update.cleared else frozenset()
+        self._merge(update.body_digest, crashes, cleared, now_seconds)
 
     def treatment(self, digest: bytes, now_seconds: float) -> SuspectTreatment:
         """Return how a request with this body is to be treated now."""
@@ -116,7 +117,7 @@
         return SuspectTreatment.SUSPECT
 
     def quarantine_left_seconds(self, digest: bytes, now_seconds: float) -> float:
-        """Return for how long a body stays refused; 0 where it is not."""
+        """Return the seconds until a body's quarantine ends, 0 without one."""
         row = self._rows.get(digest)
         if row is None or digest in self._lifted or not self._is_quarantine_due(row):
             return 0.0
@@ -128,7 +129,7 @@
         return max(0.0, start_seconds + lasts_seconds - now_seconds)
 
     def list_quarantined(self, now_seconds: float) -> Sequence[tuple[Suspect, float]]:
-        """Return the refused bodies and for how long, for the status."""
+        """Return the quarantined bodies and the seconds left, for the status."""
         left = (
             (row, self.quarantine_left_seconds(digest, now_seconds))
             for digest, row in self._rows.items()
@@ -136,11 +137,11 @@
         return [(row, seconds) for row, seconds in left if seconds > 0.0]
 
     def count_suspects(self) -> int:
-        """Return how many bodies have deaths that no completion cleared."""
+        """Return how many bodies have crashes that no completion cleared."""
         return sum(1 for row in self._rows.values() if row.uncleared_crashes)
 
     def make_due_updates(self, now_seconds: float) -> Sequence[SuspectUpdate]:
-        """Return what other routers are to hear now; advances the repeats."""
+        """Return the updates to send to other routers now, and count the repeats."""
         messages: list[SuspectUpdate] = []
         for digest, row in list(self._rows.items()):
             if row.updates_left == 0 or now_seconds < row.next_update_at_seconds:
@@ -154,14 +155,14 @@
         return messages
 
     def schedule_all_updates(self) -> None:
-        """Say everything again, for an instance that is new or was cut off."""
+        """Send all rows again, for an instance that is new or was isolated."""
         for digest, row in self._rows.items():
             self._rows[digest] = replace(
                 row, updates_left=UPDATE_REPEATS, next_update_at_seconds=0.0
             )
 
     def tick(self, now_seconds: float) -> None:
-        """Forget what was heard of long ago."""
+        """Drop the rows that have not changed for the retention time."""
         for digest, row in list(self._rows.items()):
             if now_seconds - row.last_seen_at_seconds > SUSPECT_RETENTION_SECONDS:
                 self._forget(digest)
@@ -169,18 +170,18 @@
     def _merge(
         self,
         digest: bytes,
-        deaths: frozenset[str],
+        crashes: frozenset[str],
         cleared: frozenset[str],
         now_seconds: float,
     ) -> None:
         row = self._rows.get(digest)
         if row is None:
             row = Suspect(digest, frozenset(), frozenset(), now_seconds)
-        elif deaths <= row.deaths and cleared <= row.cleared_crashes:
+        elif crashes <= row.crashes and cleared <= row.cleared_crashes:
             return
         row = Suspect(
             body_digest=digest,
-            deaths=row.deaths | deaths | cleared,
+            crashes=row.crashes | crashes | cleared,
             cleared_crashes=row.cleared_crashes | cleared,
             last_seen_at_seconds=now_seconds,
         )
@@ -191,34 +192,37 @@
         self._repeated.discard(digest)
         if len(row.uncleared_crashes) >= CRASHES_TO_QUARANTINE:
             self._repeated.add(digest)
-        for known in self._repeated:
-            other = self._rows[known]
+        for repeated in self._repeated:
+            other = self._rows[repeated]
             if other.quarantined_at_seconds is None and self._is_quarantine_due(other):
-                self._rows[known] = replace(other, quarantined_at_seconds=now_seconds)
+                self._rows[repeated] = replace(
+                    other, quarantined_at_seconds=now_seconds
+                )
 
     def _forget(self, digest: bytes) -> None:
         del self._rows[digest]
         self._repeated.discard(digest)
 
     def _is_quarantine_due(self, row: Suspect) -> bool:
-        """Return whether the deaths point to this body and no other.
+        """Return whether the crashes are attributed to this body alone.
 
         Two suspects may run on one target from two routers. Both then have two
-        deaths, and one of them is innocent: each is given one more run alone.
+        crashes, and one of them did not cause them: each may run once more, alone.
         """
-        deaths = row.uncleared_crashes
-        if len(deaths) >= CRASHES_REGARDLESS_OF_OTHERS:
+        crashes = row.uncleared_crashes
+        if len(crashes) >= CRASHES_REGARDLESS_OF_OTHERS:
             return True
-        if len(deaths) < CRASHES_TO_QUARANTINE:
+        if len(crashes) < CRASHES_TO_QUARANTINE:
             return False
         return not any(
-            digest != row.body_digest and deaths <= self._rows[digest].uncleared_crashes
+            digest != row.body_digest
+            and crashes <= self._rows[digest].uncleared_crashes
             for digest in self._repeated
         )
 
 
 def make_crash_id(target_id: str, incarnation: int) -> str:
-    """Return the name under which all routers count one death of a target."""
+    """Return the id under which all routers count one crash of a target."""
     return f"{target_id}/{incarnation}"
 
 
