--- a/sesameford/completion_run.py
+++ b/sesameford/completion_run.py
@@ -1,4 +1,4 @@
-"""One attempt at a completion on an engine, over as many connections as it takes."""
+"""Runs one attempt at a completion on an engine, over resumed connections."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -21,29 +21,29 @@
     resume_completion,
 )
 from sesameford.read_watch import ReadWatch
-from sesameford.relay_deps import Call, RelayDeps, pass_on, settle
+from sesameford.relay_deps import Call, RelayDeps, make_relayed_response, settle
 from sesameford.retries import AttemptHistory, Failure
 from sesameford.service_adapter import read_whole
 from sesameford.silence import (
-    MAX_FRUITLESS_RESUMES,
+    MAX_RESUMES_WITHOUT_DATA,
     PROBE_TIMEOUT_SECONDS,
     NextStep,
     Probe,
     StreamProgress,
-    after_probe,
-    progressed,
-    resumed,
+    choose_next_step,
+    make_stream_progress,
+    record_resume,
     silent_at_seconds,
 )
 from sesameford.tables import Attempt, Outcome, Target, Usage
-from sesameford.whole_answer import assemble
+from sesameford.whole_answer import assemble_completion
 
 PROGRESS_EVENTS = 16
 
 
 @dataclass(slots=True)
 class CompletionRun:
-    """What one attempt on an engine has at hand."""
+    """The dependencies and state of one attempt on an engine."""
 
     deps: RelayDeps
     call: Call
@@ -55,18 +55,18 @@
 
 
 async def run_completion(run: CompletionRun, caller: CallerSide) -> StreamResponse:
-    """Run a completion, streamed from the engine in either case.
+    """Run a completion, which the engine always streams, and return the answer.
 
     Raises:
-        TargetError: It failed; the attempt is not settled.
+        TargetError: The completion failed; the attempt is not settled.
     """
     try:
-        response = await _open(run)
+        response = await _open_stream(run)
         if response.status != 200:
             with run.deps.tracer.start_as_current_span("relay"):
                 body = await read_whole(response)
                 settle(run.deps, run.call, run.attempt, _usage(run), Outcome.RAN)
-                return pass_on(response, body, run.call)
+                return make_relayed_response(response, body, run.call)
         with run.deps.tracer.start_as_current_span("relay"):
             if run.call.is_streamed:
                 return await _relay_stream(run, response, caller)
@@ -76,13 +76,13 @@
         await asyncio.shield(_cancel(run))
         raise
     except TargetLostError:
-        # The engine may still work for an attempt that nobody waits for.
+        # The engine may still run the attempt, whose answer is no longer used.
         run.deps.spawn(_cancel(run))
         raise
 
 
-async def _open(run: CompletionRun) -> ClientResponse:
-    """Send the request and return the answer at its headers."""
+async def _open_stream(run: CompletionRun) -> ClientResponse:
+    """Send the request and return the engine's response once its headers arrived."""
     assert run.call.parsed is not None
     started_seconds = run.deps.now()
     with run.deps.tracer.start_as_current_span("target"):
@@ -104,10 +104,12 @@
 
 
 async def _relay_whole(run: CompletionRun, response: ClientResponse) -> Response:
-    """Collect a stream and answer with the whole completion."""
-    async with aclosing(_events(run, response)) as events:
+    """Collect a stream and return the completion as one response."""
+    async with aclosing(_read_events(run, response)) as events:
         collected = [ready async for ready in events]
-    body = assemble(b"".join(collected), run.call.path.endswith("/chat/completions"))
+    body = assemble_completion(
+        b"".join(collected), run.call.path.endswith("/chat/completions")
+    )
     settle(run.deps, run.call, run.attempt, _usage(run), Outcome.RAN)
     return Response(
         body=body,
@@ -119,20 +121,20 @@
 async def _relay_stream(
     run: CompletionRun, response: ClientResponse, caller: CallerSide
 ) -> StreamResponse:
-    """Pass a stream on as its events come."""
+    """Relay a stream to the caller as its events arrive."""
     heartbeat = run.deps.spawn(caller.keep_alive())
     try:
-        async with aclosing(_events(run, response)) as events:
+        async with aclosing(_read_events(run, response)) as events:
             async for ready in events:
                 await caller.write(ready)
     except TargetLostError as error:
         if not caller.started:
             raise
-        # Bytes of this answer are with the caller, so a new attempt would mix two
-        # answers. It is told in the stream itself that this one is cut.
+        # The caller has bytes of this answer, so a new attempt would mix two
+        # answers. The stream itself reports that the answer is truncated.
         settle(run.deps, run.call, run.attempt, _usage(run), Outcome.UNKNOWN)
         run.deps.spawn(_cancel(run))
-        await run.deps.judge_target(run.attempt, run.target, error)
+        await run.deps.check_target_after_failure(run.attempt, run.target, error)
         return await caller.cut("answer-cut", str(error))
     finally:
         heartbeat.cancel()
@@ -140,41 +142,43 @@
     return await caller.end()
 
 
-async def _events(
+async def _read_events(
     run: CompletionRun, response: ClientResponse
 ) -> AsyncGenerator[bytes, None]:
-    """Yield whole events until the end mark, over resumed connections.
+    """Yield complete events until the end mark, over resumed connections.
 
     Raises:
-        TargetLostError: The rest of the stream can't be had.
+        TargetLostError: The rest of the stream can't be obtained.
     """
     while True:
-        broke: Exception | None = None
+        connection_error: Exception | None = None
         watch = ReadWatch(response.content, partial(_silent_at, run), run.deps.now)
         try:
-            async with aclosing(_read(run, watch)) as parts:
+            async with aclosing(_read_connection(run, watch)) as parts:
                 async for ready in parts:
                     yield ready
         except (ClientError, TimeoutError, OSError) as error:
-            broke = error
+            connection_error = error
         finally:
             watch.close()
             response.close()
         if run.events.is_done:
             break
         run.events.drop_partial()
-        response = await _resume(run, broke)
+        response = await _resume(run, connection_error)
 
 
-async def _read(run: CompletionRun, watch: ReadWatch) -> AsyncGenerator[bytes, None]:
-    """Yield whole events of one connection until it ends, breaks or is silent."""
+async def _read_connection(
+    run: CompletionRun, watch: ReadWatch
+) -> AsyncGenerator[bytes, None]:
+    """Yield complete events of one connection until it ends, breaks or is silent."""
     events = run.events
     next_progress = events.event_count + PROGRESS_EVENTS
     while not events.is_done:
         data = await watch.read()
         if not data:
             return
-        run.progress = progressed(run.deps.now())
+        run.progress = make_stream_progress(run.deps.now())
         ready = events.feed(data)
         if not events.in_order or events.held_bytes > MAX_EVENT_BYTES:
             raise TargetLostError(
@@ -182,7 +186,8 @@
             )
         judged = judge_stream(events.is_done, events.usage is not None, events.in_order)
         if events.is_done and judged is not Completeness.COMPLETE:
-            # Before the end mark is passed on, or the caller would take it as whole.
+            # Checked before the end mark is relayed: with the mark, the caller
+            # would accept the answer as complete.
             raise TargetLostError("the end came without usage", Failure.ANSWER_INVALID)
         if ready:
             yield ready
@@ -191,38 +196,44 @@
             run.deps.router.record_progress(run.attempt, _usage(run))
 
 
-async def _resume(run: CompletionRun, broke: Exception | None) -> ClientResponse:
-    """Go on with the stream on a fresh connection, which is the probe as well.
+async def _resume(
+    run: CompletionRun, connection_error: Exception | None
+) -> ClientResponse:
+    """Resume the stream on a fresh connection, which also probes the target.
 
     Raises:
-        TargetLostError: The engine does not know the stream, or can't be reached.
+        TargetLostError: The engine has no such stream, or can't be reached.
     """
-    silent = isinstance(broke, TimeoutError)
+    silent = isinstance(connection_error, TimeoutError)
     run.deps.outcomes.silent_connections += silent
-    if run.progress.fruitless_resumes >= MAX_FRUITLESS_RESUMES and not silent:
-        raise TargetLostError(f"the stream broke again: {broke!r}", Failure.ANSWER_CUT)
+    if run.progress.resumes_without_data >= MAX_RESUMES_WITHOUT_DATA and not silent:
+        raise TargetLostError(
+            f"the stream broke again: {connection_error!r}", Failure.ANSWER_CUT
+        )
     if not silent:
-        # Whatever breaks each connection at once would be met in a tight loop.
+        # The delay prevents a tight loop if each connection breaks at once.
         await asyncio.sleep(run.deps.outcomes.backoff_seconds(1))
     probe, response = await _probe(run)
     now_seconds = run.deps.now()
-    step = after_probe(run.target.kind, probe, run.history, now_seconds)
+    step = choose_next_step(run.target.kind, probe, run.history, now_seconds)
     if step is NextStep.READ_ON and response is not None:
-        run.progress = resumed(run.progress, now_seconds)
+        run.progress = record_resume(run.progress, now_seconds)
         run.deps.outcomes.resumes += 1
         return response
     if response is not None:
         response.close()
     if step is NextStep.TARGET_DOWN:
-        raise TargetLostError(f"the target is gone: {broke!r}", Failure.TARGET_GONE)
+        raise TargetLostError(
+            f"the target is gone: {connection_error!r}", Failure.TARGET_GONE
+        )
     if now_seconds >= run.history.deadline_at_seconds:
         raise TargetLostError("silent until the deadline", Failure.DEADLINE)
     failure = Failure.SILENT if silent else Failure.ANSWER_CUT
-    raise TargetLostError(f"the stream can't be resumed: {broke!r}", failure)
+    raise TargetLostError(f"the stream can't be resumed: {connection_error!r}", failure)
 
 
 async def _probe(run: CompletionRun) -> tuple[Probe, ClientResponse | None]:
-    """Ask for the rest of the stream on a fresh connection."""
+    """Request the rest of the stream on a fresh connection."""
     try:
         async with asyncio.timeout(PROBE_TIMEOUT_SECONDS):
             response = await resume_completion(
@@ -234,8 +245,8 @@
         refused = error.failure == Failure.CONNECT_REFUSED
         return (Probe.REFUSED if refused else Probe.NO_ANSWER), None
     except TargetError as error:
-        cut = error.failure == Failure.ANSWER_CUT
-        return (Probe.UNKNOWN_STREAM if cut else Probe.NO_ANSWER), None
+        is_cut = error.failure == Failure.ANSWER_CUT
+        return (Probe.UNKNOWN_STREAM if is_cut else Probe.NO_ANSWER), None
     return Probe.RESUMED, response
 
 
@@ -243,15 +254,15 @@
     await cancel_completion(run.deps.session, run.target, run.attempt.attempt_id)
 
 
-def _silent_at(run: CompletionRun, reading_since_seconds: float) -> float:
-    """Return when a read counts as silent if nothing comes before."""
+def _silent_at(run: CompletionRun, read_started_at_seconds: float) -> float:
+    """Return when a read counts as silent if no data arrives before."""
     silence_seconds = run.deps.router.tree.fleet.silence_seconds
     by_progress_seconds = silent_at_seconds(run.progress, silence_seconds)
-    return max(by_progress_seconds, reading_since_seconds + silence_seconds)
+    return max(by_progress_seconds, read_started_at_seconds + silence_seconds)
 
 
 def _silence_left(run: CompletionRun) -> float:
-    """Return for how long nothing may come before the connection is silent."""
+    """Return the seconds without data after which the connection is silent."""
     silence_seconds = run.deps.router.tree.fleet.silence_seconds
     until_seconds = silent_at_seconds(run.progress, silence_seconds)
     return max(until_seconds - run.deps.now(), 0.0)
@@ -262,7 +273,7 @@
 
 
 def _trace_headers(call: Call) -> dict[str, str]:
-    """Return the headers that carry the trace to the target."""
+    """Return the caller's trace context headers."""
     return {
         key: value
         for key, value in call.headers.items()
--- a/sesameford/outcomes.py
+++ b/sesameford/outcomes.py
@@ -1,8 +1,8 @@
-"""What one router keeps so that every caller hears a true outcome."""
+"""One router's state that decides retries, quarantines and reported outcomes."""
 
 from collections.abc import Callable, Sequence
 
-from sesameford.deaths import Death, OnTargets
+from sesameford.deaths import InFlightAttempts, TargetCrash
 from sesameford.effective import EffectiveTree, FleetSettings
 from sesameford.keyed import KeyedRequests
 from sesameford.messages import Outgoing, SuspectUpdate
@@ -12,11 +12,11 @@
 
 
 class Outcomes:
-    """The state behind outcomes, and what other routers are told of it.
+    """Retry budget, suspects, in-flight attempts and keyed requests of one router.
 
     Args:
-        seed: For the jitter of the backoff.
-        send: Sends to other instances.
+        seed: Seed of the backoff's jitter.
+        send: Sends a message to other instances.
     """
 
     def __init__(self, seed: int, send: Callable[[Outgoing], None]) -> None:
@@ -24,7 +24,7 @@
         self.budget = RetryBudget(fleet.retry_budget_fraction)
         self.backoff_seconds = make_backoff(seed)
         self.suspects = Suspects(fleet.quarantine_seconds)
-        self.on_targets = OnTargets()
+        self.in_flight_attempts = InFlightAttempts()
         self.target_exclusion = TargetExclusion()
         self.keyed: KeyedRequests | None = None
         self.open_requests = 0
@@ -36,66 +36,70 @@
 
     @property
     def unreported_claims(self) -> int:
-        """Return how many claims the log has not yet heard the end of."""
+        """Return how many claims have an outcome that is not yet in the log."""
         return self.keyed.unsettled if self.keyed is not None else 0
 
     def configure(self, tree: EffectiveTree) -> None:
-        """Take a tree into force."""
+        """Apply a tree of settings."""
         self.budget.configure(tree.fleet.retry_budget_fraction)
         lifted = [bytes.fromhex(digest) for digest in tree.fleet.lifted_digests]
         self.suspects.configure(tree.fleet.quarantine_seconds, lifted)
 
     def treatment(self, body_digest: bytes, now_seconds: float) -> SuspectTreatment:
-        """Return how a request with this body is to be treated now."""
+        """Return how a request with this body is treated now."""
         return self.suspects.treatment(body_digest, now_seconds)
 
     def record_target_crash(
         self, target_id: str, incarnation: int, now_seconds: float
     ) -> None:
-        """Take a death that a refused fresh connection shows."""
+        """Record a crash that a refused fresh connection proves."""
         self._record_crashes(
-            [self.on_targets.died(target_id, incarnation)], now_seconds
+            [self.in_flight_attempts.remove_crashed(target_id, incarnation)],
+            now_seconds,
         )
 
     def record_target_replacement(
         self, target_id: str, incarnation: int, now_seconds: float
     ) -> None:
-        """Take the deaths that the announcement of a new incarnation shows."""
-        deaths = self.on_targets.replaced(target_id, incarnation)
-        self._record_crashes(deaths, now_seconds)
+        """Record the crashes that the announcement of a new incarnation proves."""
+        crashes = self.in_flight_attempts.remove_replaced(target_id, incarnation)
+        self._record_crashes(crashes, now_seconds)
 
-    def merge_suspect_update(self, news: SuspectUpdate, now_seconds: float) -> None:
-        """Take another router's news of a suspect."""
-        self.suspects.merge_update(news, now_seconds)
+    def merge_suspect_update(self, update: SuspectUpdate, now_seconds: float) -> None:
+        """Merge another router's update on a suspect."""
+        self.suspects.merge_update(update, now_seconds)
 
     def tick(self, instances: frozenset[tuple[str, int]], now_seconds: float) -> None:
-        """Tell other routers what they may not know; forget what is old.
+        """Send due updates to other routers, and remove expired rows.
 
         Args:
             instances: Ids and incarnations of the other live instances.
             now_seconds: The present time.
         """
-        # A router that was cut off or restarts empty has missed what was said.
+        # A router that was isolated, or restarted with an empty table, has missed
+        # earlier updates.
         if instances - self._instances:
             self.suspects.schedule_all_updates()
         self._instances = instances
-        self.on_targets.tick(now_seconds)
+        self.in_flight_attempts.tick(now_seconds)
         self.suspects.tick(now_seconds)
         self.send_suspect_updates(now_seconds)
 
     def send_suspect_updates(self, now_seconds: float) -> None:
-        """Send the news of suspects that is due."""
-        for news in self.suspects.make_due_updates(now_seconds):
-            self._send(Outgoing(None, news, urgent=True))
+        """Send the updates on suspects that are due."""
+        for update in self.suspects.make_due_updates(now_seconds):
+            self._send(Outgoing(None, update, urgent=True))
 
-    def _record_crashes(self, deaths: Sequence[Death], now_seconds: float) -> None:
-        for death in deaths:
-            if not death.body_digests:
+    def _record_crashes(
+        self, crashes: Sequence[TargetCrash], now_seconds: float
+    ) -> None:
+        for crash in crashes:
+            if not crash.body_digests:
                 continue
             self.target_crashes += 1
-            name = make_crash_id(death.target_id, death.incarnation)
-            self.suspects.record_crash(name, death.body_digests, now_seconds)
-        # At once, for the caller may send the same again through another router.
+            name = make_crash_id(crash.target_id, crash.incarnation)
+            self.suspects.record_crash(name, crash.body_digests, now_seconds)
+        # Sent at once: the caller may resend the body through another router.
         self.send_suspect_updates(now_seconds)
 
 
--- a/sesameford/relay.py
+++ b/sesameford/relay.py
@@ -1,4 +1,4 @@
-"""A request's life after it was read: wait, attempts, outcome."""
+"""Runs a parsed request: the wait for a slot, its attempts, and its outcome."""
 
 import asyncio
 import logging
@@ -25,11 +25,11 @@
     AttemptHistory,
     Failure,
     RetryDecision,
-    after_failure,
     decide_retry,
+    record_failure,
 )
 from sesameford.service_run import run_call
-from sesameford.silence import progressed
+from sesameford.silence import make_stream_progress
 from sesameford.suspects import SuspectTreatment
 from sesameford.tables import Attempt, Outcome, Target, TargetKind, Usage
 
@@ -38,8 +38,8 @@
 logger = logging.getLogger(__name__)
 
 REPLAYED_HEADER = "Sesameford-Replayed"
-# Of a kept answer only these say something to a caller who comes back.
-KEPT_HEADERS = frozenset({"content-type", "content-encoding", "location"})
+# The headers of an answer that are stored and replayed to a resend.
+STORED_HEADERS = frozenset({"content-type", "content-encoding", "location"})
 
 
 async def serve(deps: RelayDeps, http: HttpRequest, call: Call) -> StreamResponse:
@@ -57,26 +57,28 @@
             return await _run_to_outcome(deps, call, caller)
         finally:
             deps.outcomes.open_requests -= 1
-    # With a key the work goes on when its caller goes away: it may come back for
-    # the answer through any router, and must not find that the work was cut.
+    # A keyed request continues when its caller disconnects: the caller may fetch
+    # the answer through any router later, so the work must not be cancelled.
     work = deps.spawn(_serve_keyed(deps, http, call, keyed))
     try:
         answer: StreamResponse = await asyncio.shield(work)
     except asyncio.CancelledError:
-        work.add_done_callback(_log_unheard)
+        work.add_done_callback(_log_unattended_failure)
         raise
     return answer
 
 
-def _log_unheard(work: "asyncio.Task[StreamResponse]") -> None:
-    """Take the end of a keyed request whose caller went away."""
+def _log_unattended_failure(work: "asyncio.Task[StreamResponse]") -> None:
+    """Log the failure of a keyed request whose caller disconnected."""
     if not work.cancelled() and work.exception() is not None:
-        logger.info("ended without its caller: %s", work.exception())
+        logger.info(
+            "keyed request failed after its caller disconnected: %s", work.exception()
+        )
 
 
 @dataclass(slots=True)
-class _Told:
-    """What the first caller under a key is told."""
+class _FirstCallerResult:
+    """The response or error for the first caller that used a key."""
 
     response: StreamResponse | None = None
     error: OutcomeError | None = None
@@ -86,35 +88,35 @@
     deps: RelayDeps, http: HttpRequest, call: Call, keyed: KeyedRequests
 ) -> StreamResponse:
     """Serve a request with an idempotency key."""
-    told = _Told()
+    result = _FirstCallerResult()
     caller = CallerSide(http, call.request.request_id, keeps=True)
 
     async def run() -> RunEnd:
         try:
-            told.response = await _run_to_outcome(deps, call, caller)
+            result.response = await _run_to_outcome(deps, call, caller)
         except OutcomeError as error:
-            told.error = error
+            result.error = error
             not_run = isinstance(error, NotRunError)
             return RunEnd(Outcome.NOT_RUN if not_run else Outcome.UNKNOWN)
-        return _end_of(told.response, caller)
+        return _make_run_end(result.response, caller)
 
     deps.outcomes.open_requests += 1
     try:
-        kept = await keyed.serve(_keyed_request(deps, call, keyed), run)
+        stored = await keyed.serve(_keyed_request(deps, call, keyed), run)
     except NotRunError as error:
         if error.reason != "no-quorum" or not call.request.repeatable:
             raise
-        # Without a majority no claim can be had. What may run twice needs none, and
-        # a data centre that is cut off goes on serving it.
+        # A claim needs a quorum. A repeatable request needs no claim, so an
+        # isolated data centre still serves it.
         return await _run_to_outcome(deps, call, caller)
     finally:
         deps.outcomes.open_requests -= 1
-    if told.error is not None:
-        raise told.error
-    if told.response is not None:
-        return told.response
-    assert kept is not None
-    return _replay(kept, call)
+    if result.error is not None:
+        raise result.error
+    if result.response is not None:
+        return result.response
+    assert stored is not None
+    return _replay(stored, call)
 
 
 def _keyed_request(deps: RelayDeps, call: Call, keyed: KeyedRequests) -> KeyedRequest:
@@ -131,58 +133,58 @@
     )
 
 
-def _end_of(response: StreamResponse, caller: CallerSide) -> RunEnd:
-    """Return how a keyed run ended and what is kept of it."""
+def _make_run_end(response: StreamResponse, caller: CallerSide) -> RunEnd:
+    """Return the outcome of a keyed run and the answer to store."""
     if caller.started:
-        whole = caller.outcome is Outcome.RAN
-        return RunEnd(caller.outcome, caller.kept_answer() if whole else None)
+        is_complete = caller.outcome is Outcome.RAN
+        return RunEnd(caller.outcome, caller.kept_answer() if is_complete else None)
     body = response.body if isinstance(response, Response) else None
-    # The HTTP library's names are a kind of text of its own, which has no coding.
+    # aiohttp's header names are a subclass of str that msgspec can't encode.
     headers = tuple(
         (str(name), value)
         for name, value in response.headers.items()
-        if name.lower() in KEPT_HEADERS
+        if name.lower() in STORED_HEADERS
     )
     content = bytes(body) if isinstance(body, bytes | bytearray) else b""
     return RunEnd(Outcome.RAN, ClaimAnswer(response.status, headers, content))
 
 
-def _replay(kept: ClaimAnswer, call: Call) -> Response:
-    """Return a kept answer to a resend."""
+def _replay(stored: ClaimAnswer, call: Call) -> Response:
+    """Return a stored answer as the response to a resend."""
     headers = {
-        **dict(kept.headers),
+        **dict(stored.headers),
         **outcome_headers(Outcome.RAN, call.request.request_id),
         REPLAYED_HEADER: "true",
     }
-    return Response(status=kept.status, body=kept.body, headers=headers)
+    return Response(status=stored.status, body=stored.body, headers=headers)
 
 
 async def _run_to_outcome(
     deps: RelayDeps, call: Call, caller: CallerSide
 ) -> StreamResponse:
-    """Make attempts until one has the answer or no more is allowed."""
+    """Make attempts until one returns an answer or no retry is allowed."""
     request = call.request
     _refuse_quarantined(deps, call)
     with deps.tracer.start_as_current_span("wait"):
         attempt = await deps.router.first_attempt(request)
     waited_seconds = deps.now() - request.arrived_at_seconds
     deps.router.metrics.wait_seconds.observe({}, waited_seconds)
-    deps.outcomes.budget.attempted()
+    deps.outcomes.budget.record_first_attempt()
     history = AttemptHistory(request.repeatable, request.deadline_seconds)
     while True:
         try:
-            return await _attempt(deps, call, caller, attempt, history)
+            return await _make_attempt(deps, call, caller, attempt, history)
         except TargetError as error:
             failure = failure_of(error)
             detail = str(error)
         except NotRunError as error:
             settle(deps, call, attempt, Usage(), Outcome.NOT_RUN)
-            raise _honest(error, history) from error
-        decision = _after_failure(deps, failure, history)
-        history = after_failure(history, failure)
+            raise _account_for_earlier_attempts(error, history) from error
+        decision = _decide_retry(deps, failure, history)
+        history = record_failure(history, failure)
         if not decision.retry:
             settle(deps, call, attempt, Usage(), decision.outcome)
-            raise _error_of(decision, detail)
+            raise _make_outcome_error(decision, detail)
         attempt = await _next_attempt(deps, call, attempt, history, failure, decision)
 
 
@@ -190,7 +192,7 @@
     """Refuse a body that crashed targets.
 
     Raises:
-        NotRunError: It is quarantined.
+        NotRunError: The body is quarantined.
     """
     suspects = deps.outcomes.suspects
     digest = call.request.body_digest
@@ -204,13 +206,13 @@
         )
 
 
-def _after_failure(
+def _decide_retry(
     deps: RelayDeps, failure: Failure, history: AttemptHistory
 ) -> RetryDecision:
     now_seconds = deps.now()
     routers = 1 + len(deps.router.members.live(now_seconds))
     return decide_retry(
-        after_failure(history, failure),
+        record_failure(history, failure),
         failure,
         deps.outcomes.budget,
         deps.outcomes.backoff_seconds,
@@ -227,11 +229,11 @@
     failure: Failure,
     decision: RetryDecision,
 ) -> Attempt:
-    """Wait for the backoff and then for a place on another target.
+    """Wait for the backoff and then for a slot on another target.
 
     Raises:
-        NotRunError: Nothing ran, and there is no place.
-        UnknownOutcomeError: There is no place, and an attempt may have run.
+        NotRunError: No slot became free, and no attempt can have run.
+        UnknownOutcomeError: No slot became free, and an attempt may have run.
     """
     try:
         await asyncio.sleep(max(decision.retry_at_seconds - deps.now(), 0.0))
@@ -242,58 +244,65 @@
     try:
         return await deps.router.next_attempt(call.request, attempt, failure.value)
     except NotRunError as error:
-        raise _honest(error, history) from error
+        raise _account_for_earlier_attempts(error, history) from error
 
 
-def _honest(error: NotRunError, history: AttemptHistory) -> OutcomeError:
-    """Return a refusal, or unknown where an earlier attempt may have run.
+def _account_for_earlier_attempts(
+    error: NotRunError, history: AttemptHistory
+) -> OutcomeError:
+    """Return a refusal, or an unknown outcome if an earlier attempt may have run.
 
-    The queue refuses without knowing of attempts. Its "not run" would be believed,
-    and the caller would send again what has run.
+    The queue refuses without regard to earlier attempts. A caller that trusts its
+    "not run" would resend a request that has run.
     """
     if not history.may_have_run:
         return error
     return UnknownOutcomeError(error.reason, f"an attempt may have run; {error.detail}")
 
 
-def _error_of(decision: RetryDecision, detail: str) -> OutcomeError:
-    """Return the error for the outcome of a request without an answer."""
+def _make_outcome_error(decision: RetryDecision, detail: str) -> OutcomeError:
+    """Return the error that reports a request without an answer to its caller."""
     if decision.outcome is Outcome.NOT_RUN:
         return NotRunError(decision.reason, detail, 503, 1.0)
     status = 504 if decision.reason == Failure.DEADLINE.value else 502
     return UnknownOutcomeError(decision.reason, detail, status)
 
 
-async def _attempt(
+async def _make_attempt(
     deps: RelayDeps,
     call: Call,
     caller: CallerSide,
     attempt: Attempt,
     history: AttemptHistory,
 ) -> StreamResponse:
-    """Make one attempt; on return it is settled, on an error it is not.
+    """Make one attempt, and settle it if it returns an answer.
 
     Raises:
-        TargetError: It failed, and the target has been judged.
+        TargetError: The attempt failed; the target was checked, the attempt is
+            not settled.
         NotRunError: The body was quarantined before it was sent.
     """
     async with AsyncExitStack() as stack:
         try:
-            await _pass_gate(deps, call, attempt, history, stack)
+            await _enter_target(deps, call, attempt, history, stack)
         except asyncio.CancelledError:
             settle(deps, call, attempt, Usage(), Outcome.NOT_RUN)
             raise
-        target = _target(deps, attempt)
-        deps.outcomes.on_targets.started(attempt, call.request.body_digest)
+        target = _require_target(deps, attempt)
+        deps.outcomes.in_flight_attempts.record_start(attempt, call.request.body_digest)
         try:
-            return await _run(deps, call, caller, attempt, target, history)
+            return await _run_attempt(deps, call, caller, attempt, target, history)
         except TargetError as error:
-            await deps.judge_target(attempt, target, error)
+            await deps.check_target_after_failure(attempt, target, error)
             raise
 
 
-def _target(deps: RelayDeps, attempt: Attempt) -> Target:
-    """Return the target of an attempt, if it still takes new work."""
+def _require_target(deps: RelayDeps, attempt: Attempt) -> Target:
+    """Return the target of an attempt.
+
+    Raises:
+        TargetRefusedError: The target accepts no new work any more.
+    """
     with deps.tracer.start_as_current_span("dispatch") as span:
         span.set_attribute("attempt", attempt.attempt_id)
         span.set_attribute("target", attempt.target_id)
@@ -305,30 +314,32 @@
     return target
 
 
-async def _pass_gate(
+async def _enter_target(
     deps: RelayDeps,
     call: Call,
     attempt: Attempt,
     history: AttemptHistory,
     stack: AsyncExitStack,
 ) -> None:
-    """Wait until the attempt may run: a suspect alone, all others together."""
+    """Wait until the attempt may run: a suspect exclusively, all others shared."""
     digest = call.request.body_digest
-    gates = deps.outcomes.target_exclusion
+    exclusion = deps.outcomes.target_exclusion
     left_seconds = max(history.deadline_at_seconds - deps.now(), 0.0)
     try:
         async with asyncio.timeout(left_seconds):
             if deps.outcomes.treatment(digest, deps.now()) is SuspectTreatment.CLEAR:
-                gate = gates.run_shared(attempt.target_id)
+                turn = exclusion.run_shared(attempt.target_id)
             else:
-                gate = gates.run_exclusive(attempt.target_id, digest)
-            await stack.enter_async_context(gate)
+                turn = exclusion.run_exclusive(attempt.target_id, digest)
+            await stack.enter_async_context(turn)
     except TimeoutError as error:
-        raise TargetRefusedError("no turn in time", Failure.NEVER_SENT) from error
+        raise TargetRefusedError(
+            "the target was not free before the deadline", Failure.NEVER_SENT
+        ) from error
     _refuse_quarantined(deps, call)
 
 
-async def _run(
+async def _run_attempt(
     deps: RelayDeps,
     call: Call,
     caller: CallerSide,
@@ -339,12 +350,12 @@
     if call.request.kind is TargetKind.SERVICE:
         return await run_call(deps, call, attempt, target, history)
     run = CompletionRun(
-        deps, call, attempt, target, replace(history), progressed(deps.now())
+        deps, call, attempt, target, replace(history), make_stream_progress(deps.now())
     )
     return await run_completion(run, caller)
 
 
 def outcome_of(response: StreamResponse) -> Outcome:
-    """Return the outcome that a response tells its caller."""
-    told = response.get(OUTCOME_KEY)
-    return told or Outcome(response.headers[OUTCOME_HEADER])
+    """Return the outcome that a response reports to its caller."""
+    result = response.get(OUTCOME_KEY)
+    return result or Outcome(response.headers[OUTCOME_HEADER])
--- a/sesameford/relay_deps.py
+++ b/sesameford/relay_deps.py
@@ -1,4 +1,4 @@
-"""What the modules share that carry a request to a target and its answer back."""
+"""Shared by the modules that relay requests to targets and answers to callers."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -20,8 +20,8 @@
 from sesameford.silence import Probe
 from sesameford.tables import Attempt, Outcome, Request, Target, Usage
 
-# After these a fresh connection tells whether the target still lives.
-_PROBED = frozenset(
+# After these failures a fresh connection probes whether the target is alive.
+_PROBED_FAILURES = frozenset(
     {
         Failure.CONNECT_REFUSED,
         Failure.CONNECT_TIMEOUT,
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayDeps:
-    """What serving a request needs."""
+    """The dependencies of serving a request."""
 
     router: Router
     session: ClientSession
@@ -44,23 +44,30 @@
     tasks: set[asyncio.Task[Any]] = field(default_factory=set)
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Run work that outlives its caller; the loop alone would forget it."""
+        """Run work that outlives its caller.
+
+        The event loop holds only weak references to tasks, so they are stored here.
+        """
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
 
-    async def judge_target(
+    async def check_target_after_failure(
         self, attempt: Attempt, target: Target, error: TargetError
     ) -> None:
-        """Find out by a fresh connection whether a failed attempt's target lives."""
+        """Probe a failed attempt's target over a fresh connection.
+
+        A target that fails the probe gets no new work; one that refuses the
+        connection counts as crashed.
+        """
         failure = failure_of(error)
-        on_targets = self.outcomes.on_targets
+        in_flight_attempts = self.outcomes.in_flight_attempts
         if failure in PROVEN_NOT_STARTED:
-            on_targets.ended(attempt.attempt_id)
+            in_flight_attempts.record_end(attempt.attempt_id)
         else:
-            on_targets.broke(attempt.attempt_id, self.now())
-        if failure not in _PROBED:
+            in_flight_attempts.record_broken(attempt.attempt_id, self.now())
+        if failure not in _PROBED_FAILURES:
             return
         probe = await probe_target(target.url)
         if probe is Probe.ALIVE:
@@ -76,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A caller's request with what is needed to send it on."""
+    """A caller's request with the parts that are forwarded to a target."""
 
     request: Request
     method: str
@@ -87,12 +94,16 @@
 
     @property
     def is_streamed(self) -> bool:
-        """Return whether the caller asked for server-sent events."""
+        """Return whether the caller requested server-sent events."""
         return bool(self.parsed and self.parsed.get("stream"))
 
 
 def failure_of(error: TargetError) -> Failure:
-    """Return how an attempt failed; what can't be told proves nothing."""
+    """Return how an attempt failed.
+
+    An unlisted failure counts as an invalid answer, which proves nothing about
+    whether the request ran.
+    """
     try:
         return Failure(error.failure)
     except ValueError:
@@ -102,24 +113,26 @@
 def settle(
     deps: RelayDeps, call: Call, attempt: Attempt, usage: Usage, outcome: Outcome
 ) -> None:
-    """End an attempt and count its cost."""
+    """End an attempt, record its outcome and count its cost."""
     if outcome is Outcome.RAN:
-        deps.outcomes.on_targets.ended(attempt.attempt_id)
+        deps.outcomes.in_flight_attempts.record_end(attempt.attempt_id)
         deps.outcomes.suspects.record_completion(call.request.body_digest, deps.now())
         deps.router.registry.proved(attempt.target_id)
     elif outcome is Outcome.UNKNOWN:
-        # It may still crash its target after its caller went away.
-        deps.outcomes.on_targets.broke(attempt.attempt_id, deps.now())
+        # The body may still crash the target after the caller disconnected.
+        deps.outcomes.in_flight_attempts.record_broken(attempt.attempt_id, deps.now())
     else:
-        deps.outcomes.on_targets.ended(attempt.attempt_id)
+        deps.outcomes.in_flight_attempts.record_end(attempt.attempt_id)
     deps.router.settle(attempt, usage, outcome)
     cost_units = cost_of_usage(deps.router.tree, call.request, usage)
     labels = {"customer": call.request.customer_id}
     deps.router.metrics.cost_units.add(labels, cost_units)
 
 
-def pass_on(response: ClientResponse, body: bytes, call: Call) -> Response:
-    """Return a target's answer as the caller's."""
+def make_relayed_response(
+    response: ClientResponse, body: bytes, call: Call
+) -> Response:
+    """Return a target's answer as the response to the caller."""
     headers = {
         key: value
         for key, value in response.headers.items()
--- a/sesameford/service_run.py
+++ b/sesameford/service_run.py
@@ -1,4 +1,4 @@
-"""One attempt at a plain service's call."""
+"""Runs one attempt at a call to a plain service."""
 
 import asyncio
 
@@ -6,14 +6,14 @@
 
 from sesameford.errors import TargetLostError
 from sesameford.probes import probe_target
-from sesameford.relay_deps import Call, RelayDeps, pass_on, settle
+from sesameford.relay_deps import Call, RelayDeps, make_relayed_response, settle
 from sesameford.retries import AttemptHistory, Failure
 from sesameford.service_adapter import open_call, read_whole
 from sesameford.silence import (
     NextStep,
-    after_probe,
-    progressed,
-    resumed,
+    choose_next_step,
+    make_stream_progress,
+    record_resume,
     silent_at_seconds,
 )
 from sesameford.tables import Attempt, Outcome, Target, TargetKind, Usage
@@ -26,16 +26,16 @@
     target: Target,
     history: AttemptHistory,
 ) -> Response:
-    """Run a plain service's call and return its whole answer.
+    """Run a call to a plain service and return its complete answer.
 
     Raises:
-        TargetError: It failed; the attempt is not settled.
+        TargetError: The call failed; the attempt is not settled.
     """
     started_seconds = deps.now()
-    exchange = asyncio.ensure_future(_exchange(deps, call, attempt, target))
+    exchange = asyncio.ensure_future(_send_call(deps, call, attempt, target))
     try:
         with deps.tracer.start_as_current_span("target"):
-            await _wait(deps, exchange, target, history)
+            await _wait_for_answer(deps, exchange, target, history)
         answer = exchange.result()
     except asyncio.CancelledError:
         usage = Usage(service_seconds=deps.now() - started_seconds)
@@ -48,10 +48,10 @@
     return answer
 
 
-async def _exchange(
+async def _send_call(
     deps: RelayDeps, call: Call, attempt: Attempt, target: Target
 ) -> Response:
-    """Send the call and read its answer on a connection of its own."""
+    """Send the call on its own connection and read its complete answer."""
     response = await open_call(
         deps.session, target, attempt, call.method, call.path, call.body, call.headers
     )
@@ -60,26 +60,26 @@
     finally:
         response.close()
     with deps.tracer.start_as_current_span("relay"):
-        return pass_on(response, body, call)
+        return make_relayed_response(response, body, call)
 
 
-async def _wait(
+async def _wait_for_answer(
     deps: RelayDeps,
     exchange: "asyncio.Future[Response]",
     target: Target,
     history: AttemptHistory,
 ) -> None:
-    """Wait for an exchange, and probe the target anew while it is silent.
+    """Wait for an exchange to finish, and probe the target whenever it is silent.
 
     Raises:
-        TargetLostError: It is silent for good, or its time is over.
+        TargetLostError: The probe ended the exchange, or its deadline passed.
     """
     silence_seconds = deps.router.tree.fleet.silence_seconds
-    progress = progressed(deps.now())
-    # A service that is merely slow must be able to answer some time: each further
-    # attempt waits twice as long as the one before.
+    progress = make_stream_progress(deps.now())
+    # Each further attempt waits twice as long as the one before, so that a service
+    # that is merely slow can answer in the end.
     for _ in range(history.attempts):
-        progress = resumed(progress, deps.now())
+        progress = record_resume(progress, deps.now())
     while True:
         until_seconds = silent_at_seconds(progress, silence_seconds)
         until_seconds = min(until_seconds, history.deadline_at_seconds)
@@ -91,11 +91,11 @@
         probe = await probe_target(target.url)
         if exchange.done():
             return
-        step = after_probe(TargetKind.SERVICE, probe, history, deps.now())
+        step = choose_next_step(TargetKind.SERVICE, probe, history, deps.now())
         if step is NextStep.NEW_ATTEMPT:
             raise TargetLostError("the connection is silent", Failure.SILENT)
         if step is NextStep.TARGET_DOWN:
             raise TargetLostError("the target is gone", Failure.TARGET_GONE)
         if step is NextStep.CUT:
             raise TargetLostError("no answer before the deadline", Failure.DEADLINE)
-        progress = resumed(progress, deps.now())
+        progress = record_resume(progress, deps.now())
--- a/tests/faults_fixture.py
+++ b/tests/faults_fixture.py
@@ -1,4 +1,4 @@
-"""Routers in this process before stand-ins that are reached through fault proxies."""
+"""Routers in this process, and stand-in targets behind fault proxies."""
 
 from argparse import Namespace
 from asyncio import create_task, sleep
@@ -50,7 +50,7 @@
 
 
 class FakeLog:
-    """A log of one replica, which may be unreachable."""
+    """A log of one replica, which can be made unreachable."""
 
     def __init__(self):
         self.machine = ClaimsMachine()
@@ -68,7 +68,7 @@
 
 
 class TargetAtProxy:
-    """A target and the proxy that all routers reach it through."""
+    """A target and the proxy through which all routers connect to it."""
 
     def __init__(self, target_id, kind, name, app, incarnation=1):
         self.target_id, self.kind, self.name = target_id, kind, name
@@ -86,7 +86,7 @@
 
 
 class RouterAtProxies:
-    """One router's callers' port."""
+    """One router and its port for callers."""
 
     def __init__(self, router_id, world):
         self.router_id, self.world = router_id, world
@@ -101,11 +101,13 @@
             lambda outgoing: None,
             monotonic,
         )
-        self.outcomes = Outcomes(7, self.world.spread)
+        self.outcomes = Outcomes(7, self.world.deliver_updates)
         self.keyed = KeyedRequests(
             self.router_id,
             1,
-            KeyedPorts(self.world.log.propose, self.world.ask, self.world.sleep, time),
+            KeyedPorts(
+                self.world.log.propose, self.world.query_owner, self.world.sleep, time
+            ),
         )
         self.outcomes.keyed = self.keyed
         self.router.registry.on_replaced(self.outcomes.record_target_replacement)
@@ -122,16 +124,16 @@
         server = TestServer(make_callers_app(deps, 100_000))
         self.client = TestClient(server)
         await self.client.start_server()
-        self.ticking = create_task(self.tick())
+        self.ticking = create_task(self.run_ticks())
 
-    async def tick(self):
+    async def run_ticks(self):
         while True:
             await sleep(0.02)
             self.router.tick()
             self.outcomes.tick(frozenset(), monotonic())
 
     def announce(self, target, sequence=1):
-        news = TargetAnnouncement(
+        announcement = TargetAnnouncement(
             target.target_id,
             target.incarnation,
             sequence,
@@ -142,8 +144,8 @@
             8,
             60.0,
         )
-        spread = make_target_replication(self.router.registry, "e1", 1, False)
-        spread.announced(news, monotonic())
+        replication = make_target_replication(self.router.registry, "e1", 1, False)
+        replication.announced(announcement, monotonic())
         self.router.tick()
 
     async def close(self):
@@ -161,12 +163,12 @@
         self.log = FakeLog()
         self.deaths = Counter()
 
-    def spread(self, outgoing):
+    def deliver_updates(self, outgoing):
         if isinstance(outgoing.message, SuspectUpdate):
             for router in self.routers:
                 router.outcomes.merge_suspect_update(outgoing.message, monotonic())
 
-    async def ask(self, owner, claim_index):
+    async def query_owner(self, owner, claim_index):
         for router in self.routers:
             if router.router_id == owner.router_id:
                 return router.keyed.word_on(owner, claim_index)
@@ -176,7 +178,7 @@
         await sleep(min(seconds, 0.05))
 
     async def add_engine(self, target_id="engine", **options):
-        given = {
+        engine_options = {
             "models": "letters",
             "capacity": 8,
             "tokens_per_second": 400.0,
@@ -189,7 +191,7 @@
             "load_seconds": 0.1,
             **options,
         }
-        engine = Engine(Namespace(**given))
+        engine = Engine(Namespace(**engine_options))
         app = engine.make_app()
         target = TargetAtProxy(target_id, TargetKind.MODEL, "letters", app)
         await self._add(target)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Outcomes over real sockets, with a fault proxy before the targets."""
+"""Outcomes over real sockets, with a fault proxy in front of each target."""
 
 import asyncio
 import json
@@ -34,23 +34,23 @@
         if condition():
             return
         await asyncio.sleep(0.02)
-    raise AssertionError("it never came about")
+    raise AssertionError("the condition was not met in time")
 
 
 @pytest.mark.parametrize("streamed", [True, False])
 async def test_a_silent_stream_is_resumed(streamed):
-    """Something between router and engine loses track of the connection in the
-    middle of an answer. Nothing ends and nothing comes; the caller would wait for
-    ever, or get half of its draft."""
+    """A middlebox loses track of the connection in the middle of an answer: no data
+    arrives and the connection stays open. The caller would wait for ever or get a
+    truncated answer."""
     async with open_world() as world:
         engine, target = await world.add_engine()
-        asked = asyncio.create_task(
+        request_task = asyncio.create_task(
             complete(world.routers[0], "m1", 120, stream=streamed)
         )
         await until(lambda: target.proxy.connections >= 1 and started(engine, "m1"))
         await asyncio.sleep(0.08)
         target.proxy.silence_open_flows()
-        answer, body = await asked
+        answer, body = await request_task
         assert answer.headers["Sesameford-Outcome"] == "ran"
         whole = body.endswith(b"data: [DONE]\n\n") if streamed else json.loads(body)
         assert whole
@@ -60,8 +60,8 @@
 
 
 async def test_a_stream_whose_connection_ends_early_is_resumed():
-    """A box in between ends the connection in the ordinary way before the answer is
-    over. Taken for the end, the caller would read half a letter as the whole."""
+    """A middlebox closes the connection normally before the answer is complete. If
+    that counted as the end, the caller would get a truncated answer as complete."""
     async with open_world() as world:
         engine, target = await world.add_engine()
         target.proxy.faults.half_close_answer_after_bytes = 700
@@ -72,9 +72,9 @@
         assert started(engine, "m1") == 1
 
 
-async def test_an_answer_that_stays_cut_is_told_as_cut():
-    """Every connection to the engine ends early. The caller must hear that its
-    answer is cut, in the stream itself, for its head is long gone."""
+async def test_an_answer_that_stays_cut_is_reported_as_cut():
+    """Every connection to the engine ends early. The stream itself must report that
+    the answer is truncated, because its headers were already sent."""
     async with open_world() as world:
         _, target = await world.add_engine()
         target.proxy.faults.cut_answer_after_bytes = 300
@@ -84,27 +84,29 @@
         assert b"event: error" in body
 
 
-async def test_a_stream_without_events_shows_signs_of_life(monkeypatch):
-    """An engine is silent in the middle of an answer. The caller's own connection
-    might be the silent one; without a sign of life it can't tell, and waits on."""
+async def test_a_stream_without_events_sends_keep_alive_comments(monkeypatch):
+    """An engine is silent in the middle of an answer. Without keep-alive comments
+    the caller can't distinguish that from a silent connection of its own."""
     monkeypatch.setattr("sesameford.caller_side.CALLER_HEARTBEAT_SECONDS", 0.05)
     async with open_world() as world:
         _, target = await world.add_engine()
-        asked = asyncio.create_task(complete(world.routers[0], "m1", 60, stream=True))
-        # Some events have come by then, and most have not.
+        request_task = asyncio.create_task(
+            complete(world.routers[0], "m1", 60, stream=True)
+        )
+        # Some events have arrived by then, and most have not.
         async with asyncio.timeout(2):
-            while not any(one.answered_bytes > 500 for one in target.proxy._flows):
+            while not any(flow.answered_bytes > 500 for flow in target.proxy._flows):
                 await asyncio.sleep(0.002)
         assert target.proxy.silence_open_flows() == 1
-        _, body = await asked
+        _, body = await request_task
         assert body.count(b": still working\n\n") >= 1
         assert body.endswith(b"data: [DONE]\n\n")
 
 
 @pytest.mark.parametrize("missing", ["usage", "event"])
-async def test_a_stream_with_a_hole_is_not_passed_on_as_whole(missing):
-    """An engine loses an event or its figures and still sends the end mark. The
-    caller's program looks for the mark alone, so the mark must not reach it."""
+async def test_a_stream_with_a_gap_is_not_relayed_as_complete(missing):
+    """An engine loses an event or its usage and still sends the end mark. Callers
+    check only the mark, so the mark must not be relayed."""
     usage = 'id: 1\ndata: {"choices":[],"usage":{"completion_tokens":1}}\n\n'
     events = {
         "usage": 'id: 0\ndata: {"choices":[]}\n\nid: 1\ndata: [DONE]\n\n',
@@ -123,49 +125,49 @@
 
 
 async def test_a_mailing_on_a_silent_connection_is_sent_once():
-    """The connection of a mailing goes silent after it was sent. Sent again on
-    another, the club's members would get it twice."""
+    """The connection of a call that must run once goes silent after the call was
+    sent. A resend on another connection would run it twice."""
     async with open_world() as world:
         service, _ = await world.add_service()
         other, _ = await world.add_service("other")
         router = world.routers[0]
-        asked = asyncio.create_task(
+        request_task = asyncio.create_task(
             router.client.post(
                 "/services/roster/mailing?mark=m1&delay=0.2",
                 headers={**GOOD_KEY, "Sesameford-Deadline-Seconds": "1.0"},
             )
         )
         await until(lambda: started(service, "m1") or started(other, "m1"))
-        for one in world.targets:
-            one.proxy.silence_open_flows()
-        answer = await asked
+        for target in world.targets:
+            target.proxy.silence_open_flows()
+        answer = await request_task
         assert answer.headers["Sesameford-Outcome"] == "unknown"
         assert (answer.status, (await answer.json())["reason"]) == (504, "deadline")
         assert started(service, "m1") + started(other, "m1") == 1
 
 
-async def test_a_lookup_on_a_silent_connection_is_asked_again():
-    """A tanker waits at the gate for a lookup whose connection went silent. It may
-    be asked twice, so it is, on a fresh connection."""
+async def test_a_lookup_on_a_silent_connection_is_sent_again():
+    """The connection of a repeatable call goes silent. The call is sent again on a
+    fresh connection, so that its caller does not wait for the deadline."""
     async with open_world() as world:
         _, target = await world.add_service()
         target.proxy.faults.hold_answers = True
         router = world.routers[0]
-        asked = asyncio.create_task(
+        request_task = asyncio.create_task(
             router.client.get("/services/roster/x?mark=m1", headers=GOOD_KEY)
         )
         await until(lambda: target.proxy.connections >= 1)
         await asyncio.sleep(0.05)
         target.proxy.silence_open_flows()
         target.proxy.release_answers()
-        answer = await asked
+        answer = await request_task
         assert answer.headers["Sesameford-Outcome"] == "ran"
         assert (await answer.json())["mark"] == "m1"
 
 
 async def test_a_cut_answer_of_a_call_that_may_run_once_is_unknown():
-    """The service runs a call and its answer is cut on the way back. Told as not
-    run, the caller would send it again."""
+    """The service runs a call and its answer is truncated on the way back. If the
+    outcome were "not run", the caller would send the call again."""
     async with open_world() as world:
         service, target = await world.add_service()
         target.proxy.faults.cut_answer_after_bytes = 40
@@ -176,9 +178,9 @@
         assert started(service, "m1") == 1
 
 
-async def test_the_http_library_repeats_nothing_by_itself():
-    """A target takes a call and closes. The HTTP library would send a GET again by
-    itself, although the tree says that this one may run only once."""
+async def test_the_http_library_retries_nothing_by_itself():
+    """A target receives a call and closes the connection. The HTTP library would
+    retry a GET by itself, although the settings say that this one must run once."""
     calls = []
 
     async def draw(http):
@@ -195,9 +197,9 @@
         assert calls == ["/draw"]
 
 
-async def test_an_answer_without_length_or_end_mark_is_not_told_complete():
+async def test_an_answer_without_length_or_end_mark_is_not_reported_as_complete():
     """An old service ends its answers by closing the connection. A crash in the
-    middle looks the same, so such an answer can't be called complete."""
+    middle looks the same, so such an answer must not count as complete."""
 
     async def old(http):
         writer = http.transport
@@ -214,8 +216,8 @@
 
 
 async def test_a_held_answer_never_reaches_the_next_caller():
-    """An answer is held back on its way until its caller has given up, and comes
-    out when the next request is under way. The next caller must get its own."""
+    """The network delays an answer until its caller has disconnected, and delivers
+    it while the next request runs. The next caller must get its own answer."""
     async with open_world() as world:
         _, target = await world.add_service()
         target.proxy.faults.hold_answers = True
@@ -236,15 +238,15 @@
 
 
 async def test_a_caller_who_leaves_stops_the_engine_unless_it_holds_a_key():
-    """A volunteer closes the page. The engine would go on writing for nobody; with a
-    key the volunteer may come back through another router and finds the draft."""
+    """A caller disconnects. Without a key the engine must stop, as its output would
+    be unused; with a key the caller can fetch the answer through another router."""
     async with open_world(routers=2) as world:
         engine, _ = await world.add_engine()
         first, second = world.routers
         for mark, headers in (("m1", {}), ("m2", {"Idempotency-Key": "k"})):
-            asked = asyncio.create_task(complete(first, mark, 100, headers))
+            request_task = asyncio.create_task(complete(first, mark, 100, headers))
             await until(lambda mark=mark: started(engine, mark))
-            asked.cancel()
+            request_task.cancel()
         await until(lambda: engine._runs["m1"]["cancelled"])
         answer, body = await complete(second, "m2", 100, {"Idempotency-Key": "k"})
         assert answer.headers["Sesameford-Replayed"] == "true"
@@ -257,8 +259,8 @@
 
 
 async def test_without_a_quorum_only_keyed_calls_that_may_run_once_are_refused():
-    """A data centre is cut off and can't agree on claims. It serves what it can, and
-    says plainly that a keyed mailing was not run."""
+    """An isolated data centre can't agree on claims. It serves all other calls, and
+    reports a keyed call that must run once as not run."""
     async with open_world() as world:
         service, _ = await world.add_service()
         world.log.reachable = False
@@ -276,9 +278,9 @@
 
 
 async def test_refused_connections_are_not_run_and_go_elsewhere_first():
-    """A target is gone but its lease still runs. A request that can't connect was
-    not run, so another target gets it; only when all are gone the caller hears of
-    it, as not run."""
+    """A target has crashed but its lease has not expired. A request that can't
+    connect did not run, so another target gets it. Only when all targets are gone
+    does the caller get an error, with the outcome "not run"."""
     async with open_world() as world:
         service, first = await world.add_service("s1")
         _, second = await world.add_service("s2")
@@ -296,9 +298,9 @@
         assert answer.headers["Sesameford-Outcome"] == "not-run"
 
 
-async def test_a_refusal_after_a_lost_attempt_is_not_told_as_not_run():
+async def test_a_refusal_after_a_lost_attempt_is_not_reported_as_not_run():
     """A lookup's first attempt is lost after it was sent, and then no target has a
-    place before the deadline. "Not run" would be untrue: the first one ran."""
+    free slot before the deadline. "Not run" would be false: the first attempt ran."""
     async with open_world() as world:
         ran = []
 
@@ -318,17 +320,17 @@
 
 @pytest.mark.parametrize("forwarded", [False, True])
 async def test_a_poison_request_resent_over_all_routers_costs_two_targets(forwarded):
-    """One request crashes each target that runs it, and its caller sends it again
-    through every router. Other callers' requests shared the first target; they are
-    served, and the poison is refused as not run. A forwarder before the targets may
-    go on taking connections for them."""
+    """One request crashes each target that runs it, and its caller resends it through
+    every router. Other callers' requests that shared the first target are served,
+    and the poison request is refused as not run. A forwarder in front of the targets
+    may still accept connections for them."""
     async with open_world(routers=2) as world:
-        died = []
+        crashed_ports = []
 
         async def run(http):
             name = http.url.port
             if http.query.get("mark") == "poison":
-                died.append(name)
+                crashed_ports.append(name)
                 target = next(t for t in world.targets if t.port == name)
                 if forwarded:
                     target.proxy.faults.refuse = True
@@ -358,15 +360,15 @@
         for number, innocent in enumerate(innocents):
             answer = await innocent
             assert await answer.text() == f"i{number}"
-        assert len(died) == 2
+        assert len(crashed_ports) == 2
         assert outcomes == ["unknown"] + ["not-run"] * 19
         for router in world.routers:
             assert router.outcomes.suspects.count_suspects() == 1
 
 
-async def test_a_stop_hands_back_only_what_never_ran():
-    """An instance stops while one request waits for its first place and another for
-    its second. The second may have run, so it is finished and not handed back."""
+async def test_a_stop_refuses_only_requests_that_never_ran():
+    """An instance stops while one request waits for its first attempt and another for
+    its second. The latter may have run, so it is finished and not refused."""
     async with open_world() as world:
         router = world.routers[0].router
         retrying = asyncio.get_running_loop().create_future()
--- a/tests/test_outcome_rules.py
+++ b/tests/test_outcome_rules.py
@@ -1,4 +1,4 @@
-"""Small rules behind outcomes: whole answers, silence, planned stops."""
+"""Rules behind outcomes: complete answers, silence, planned stops."""
 
 import pytest
 from hypothesis import given, settings
@@ -9,9 +9,9 @@
 from sesameford.silence import (
     NextStep,
     Probe,
-    after_probe,
-    progressed,
-    resumed,
+    choose_next_step,
+    make_stream_progress,
+    record_resume,
     silent_at_seconds,
 )
 from sesameford.stops import (
@@ -40,17 +40,17 @@
         (None, False, False, 10, Completeness.UNMARKED),
     ],
 )
-def test_an_answer_is_whole_only_by_its_length_or_end_mark(
+def test_an_answer_is_complete_only_by_its_length_or_end_mark(
     length, chunked, end_seen, received, expected
 ):
-    """A target dies while it answers, and its connection ends like any other. Half a
-    permit check would be read as the whole."""
+    """A target crashes while it answers, and its connection ends normally. The caller
+    would accept the truncated answer as complete."""
     assert judge_body(length, chunked, end_seen, received) is expected
 
 
-def test_a_stream_is_whole_only_with_mark_usage_and_order():
-    """Events get lost at a resume, and the end mark still comes. The draft would
-    lack a sentence that nobody misses."""
+def test_a_stream_is_complete_only_with_mark_usage_and_order():
+    """Events get lost at a resume, and the end mark still arrives. The caller would
+    not notice the missing text."""
     assert judge_stream(True, True, True) is Completeness.COMPLETE
     for facts in ((False, True, True), (True, False, True), (True, True, False)):
         assert judge_stream(*facts) is Completeness.CUT
@@ -64,13 +64,13 @@
     st.booleans(),
     st.floats(0.0, 20.0),
 )
-def test_a_silent_exchange_is_never_sent_twice_where_once_is_the_rule(
+def test_a_silent_exchange_is_never_repeated_if_it_must_run_once(
     kind, probe, repeatable, passed_on, now_seconds
 ):
-    """A connection goes silent for good while the target works on. Sending the same
-    again would double a mailing, or mix two answers in one stream."""
-    history = AttemptHistory(repeatable, 10.0, bytes_passed_on=passed_on)
-    step = after_probe(kind, probe, history, now_seconds)
+    """A connection goes silent while the target continues to work. A resend would
+    run a call twice that must run once, or mix two answers in one stream."""
+    history = AttemptHistory(repeatable, 10.0, has_relayed_bytes=passed_on)
+    step = choose_next_step(kind, probe, history, now_seconds)
     if step is NextStep.NEW_ATTEMPT:
         assert repeatable
         assert not passed_on
@@ -80,12 +80,12 @@
         assert step is NextStep.CUT
 
 
-def test_a_target_that_works_long_without_a_word_is_probed_less_often():
-    progress = progressed(0.0)
+def test_a_target_that_works_long_without_output_is_probed_less_often():
+    progress = make_stream_progress(0.0)
     assert silent_at_seconds(progress, 10.0) == 10.0
-    progress = resumed(resumed(progress, 10.0), 30.0)
+    progress = record_resume(record_resume(progress, 10.0), 30.0)
     assert silent_at_seconds(progress, 10.0) == 70.0
-    assert silent_at_seconds(progressed(40.0), 10.0) == 50.0
+    assert silent_at_seconds(make_stream_progress(40.0), 10.0) == 50.0
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
@@ -98,8 +98,8 @@
     )
 )
 def test_a_planned_stop_cuts_nothing_whatever_the_signals(ticks):
-    """An operator stops an instance and, impatient, asks again and again. If that
-    ended it early, callers would lose answers that were half written."""
+    """An operator requests the stop of an instance several times. If that ended the
+    instance early, callers would get truncated answers."""
     state = request_stop(StopState(), 0.0)
     for second, (running, waiting, unreported, asks) in enumerate(ticks, 1):
         if asks:
@@ -116,7 +116,7 @@
         assert accepts_requests(state) is (state.step is StopStep.UNREADY)
 
 
-def test_callers_are_served_until_the_balancer_knows():
+def test_callers_are_served_until_the_balancer_has_noticed_the_stop():
     state = request_stop(StopState(), 5.0)
     state = advance_stop(state, StopLoad(0, 0, 0), 1.0, 5.9)
     assert accepts_requests(state)
