--- a/sesameford/admission.py
+++ b/sesameford/admission.py
@@ -41,7 +41,7 @@
     total = queues.total_bytes() + request.body_bytes
     # Once half of the limit is used, each customer is admitted only up to an even
     # share. One customer's burst can't fill the half that the others need.
-    even_share_bytes = queued_limit_bytes / (queues.customers() + 1)
+    even_share_bytes = queued_limit_bytes / (queues.customer_count() + 1)
     if total > queued_limit_bytes / 2 and queued_bytes > even_share_bytes:
         raise NotRunError(
             "router-full",
