--- a/sesameford/log_core.py
+++ b/sesameford/log_core.py
@@ -105,9 +105,9 @@
     ask_soon(core, now_seconds)
     # A replica that starts again may have promised a leader its silence just
     # before; it keeps the promise for the longest time that it can have meant.
-    core.heard_leader_at_seconds = now_seconds
+    core.leader_last_seen_at_seconds = now_seconds
     if core.voters == (core.me,) or not core.term:
-        core.heard_leader_at_seconds = now_seconds - ELECTION_MIN_SECONDS
+        core.leader_last_seen_at_seconds = now_seconds - ELECTION_MIN_SECONDS
     if core.voters == (core.me,):
         core.election_due_at_seconds = now_seconds
     return core
@@ -294,13 +294,13 @@
     if core.role is not Role.FOLLOWER:
         become_follower(core, core.term, now_seconds)
     if core.leader == leader:
-        pause_seconds = now_seconds - core.heard_leader_at_seconds
+        pause_seconds = now_seconds - core.leader_last_seen_at_seconds
         core.longest_pause_seconds = max(
             pause_seconds, PAUSE_KEPT_PART * core.longest_pause_seconds
         )
     core.leader = leader
     core.fresh_token = 0
-    core.heard_leader_at_seconds = now_seconds
+    core.leader_last_seen_at_seconds = now_seconds
     put_off_election(core, now_seconds)
 
 
--- a/sesameford/log_election.py
+++ b/sesameford/log_election.py
@@ -290,7 +290,7 @@
     """Return whether a leader may still rely on this replica."""
     if core.role is Role.LEADER:
         return now_seconds < lease_until_seconds(core, now_seconds)
-    return now_seconds - core.heard_leader_at_seconds < ELECTION_MIN_SECONDS
+    return now_seconds - core.leader_last_seen_at_seconds < ELECTION_MIN_SECONDS
 
 
 def _is_up_to_date(core: Core, body: VoteRequest) -> bool:
--- a/sesameford/log_state.py
+++ b/sesameford/log_state.py
@@ -151,7 +151,7 @@
 
     role: Role = Role.FOLLOWER
     leader: Member | None = None
-    heard_leader_at_seconds: float = 0.0
+    leader_last_seen_at_seconds: float = 0.0
     election_due_at_seconds: float = 0.0
     heartbeat_due_at_seconds: float = 0.0
     announce_due_at_seconds: float = 0.0
--- a/sesameford/log_status.py
+++ b/sesameford/log_status.py
@@ -57,7 +57,7 @@
     core = replica.core
     leads = core.role is Role.LEADER
     lease = lease_until_seconds(core, now_seconds) - now_seconds
-    silent = None if leads else now_seconds - core.heard_leader_at_seconds
+    silent = None if leads else now_seconds - core.leader_last_seen_at_seconds
     return ReplicaLogStatus(
         role=replica.role,
         leader_id=core.leader.instance_id if core.leader else None,
--- a/tests/test_log_core.py
+++ b/tests/test_log_core.py
@@ -324,7 +324,7 @@
         for number in range(20):
             now = 10.0 + number * every_seconds
             receive(core, packet(A, B, 1, AppendRequest(1, 0, (), 1, now)), now)
-        wait_seconds = core.election_due_at_seconds - core.heard_leader_at_seconds
+        wait_seconds = core.election_due_at_seconds - core.leader_last_seen_at_seconds
         if core is healthy:
             assert wait_seconds <= 2 * ELECTION_MIN_SECONDS
         else:
