--- a/sesameford/log_membership.py
+++ b/sesameford/log_membership.py
@@ -138,10 +138,10 @@
     One that does not answer goes first, while the others can still do without it;
     the leader goes last.
     """
-    if core.wanted_voters is None or len(present.voters) < 2:
+    if core.desired_voters is None or len(present.voters) < 2:
         return None
     unwanted = [
-        voter for voter in present.voters if voter.instance_id not in core.wanted_voters
+        voter for voter in present.voters if voter.instance_id not in core.desired_voters
     ]
     if len(unwanted) == len(present.voters):
         return None
@@ -165,7 +165,7 @@
     first: swapping both in one step would change two voters at once.
     """
     for learner in present.learners:
-        wanted = core.wanted_voters
+        wanted = core.desired_voters
         if wanted is not None and learner.instance_id not in wanted:
             continue
         if not _is_alive(core, learner, now_seconds):
--- a/sesameford/log_service.py
+++ b/sesameford/log_service.py
@@ -123,7 +123,7 @@
             self._seed,
             self._now(),
         )
-        self._replica.core.wanted_voters = self._wanted_voters
+        self._replica.core.desired_voters = self._wanted_voters
         self._replica.core.may_found = self._may_found
         self._flusher = Flusher(
             self._replica, self._now, self._fail, self._sync_in_thread
@@ -207,7 +207,7 @@
         """Let voters follow the settings tree, one change at a time; None: all."""
         self._wanted_voters = instance_ids
         if self._replica is not None:
-            self._replica.core.wanted_voters = instance_ids
+            self._replica.core.desired_voters = instance_ids
 
     def set_replicas(self, replica_ids: tuple[str, ...], may_found: bool) -> None:
         """Take who the instances with disks are, where they are found as they come.
--- a/sesameford/log_state.py
+++ b/sesameford/log_state.py
@@ -145,7 +145,7 @@
     hard_state: HardState
     random: Random
     snapshot: SnapshotImage | None = None
-    wanted_voters: frozenset[str] | None = None
+    desired_voters: frozenset[str] | None = None
     may_found: bool = True
     chunk_bytes: int = CHUNK_BYTES
 
--- a/tests/log_world.py
+++ b/tests/log_world.py
@@ -189,7 +189,7 @@
             trailing_entries=3,
         )
         node.replica.core.chunk_bytes = 100
-        node.replica.core.wanted_voters = self.wanted
+        node.replica.core.desired_voters = self.wanted
 
     def crash(self, name: str) -> None:
         """End a process without warning; what was not synced may be lost."""
@@ -208,7 +208,7 @@
         """Let operators say who should vote."""
         self.wanted = wanted
         for name in self.living():
-            self.nodes[name].replica.core.wanted_voters = wanted
+            self.nodes[name].replica.core.desired_voters = wanted
 
     def may_empty(self, name: str) -> bool:
         """Whether a majority that has its disks would be left without this one.
--- a/tests/seed_world.py
+++ b/tests/seed_world.py
@@ -57,7 +57,7 @@
             known = roster.log_peer_ids(core.log.last_index == 0)
             core.peer_ids = tuple(one for one in known if one != name)
             core.may_found = roster.may_found()
-            core.wanted_voters = voters_by_health(core, self.clock(name))
+            core.desired_voters = voters_by_health(core, self.clock(name))
         super().tick()
 
     def clusters(self) -> set[int]:
--- a/tests/test_log_core.py
+++ b/tests/test_log_core.py
@@ -201,7 +201,7 @@
     Two of three would be gone, and no change could ever be accepted again."""
     core = leading()
     acked(core, B, 10.0)
-    core.wanted_voters = frozenset({"a", "c"})
+    core.desired_voters = frozenset({"a", "c"})
     assert next_configuration(core, 10.1) is None
     acked(core, C, 10.1)
     assert next_configuration(core, 10.2).voters == (A, C)
@@ -210,7 +210,7 @@
 def test_an_unwanted_voter_that_is_lost_goes_before_one_that_lives():
     configuration = Configuration(7, (A, B, C, Member("d", 4), Member("e", 5)))
     core = leading(configuration=configuration)
-    core.wanted_voters = frozenset({"a", "d", "e"})
+    core.desired_voters = frozenset({"a", "d", "e"})
     core.commit_index = core.log.last_index
     for member in (C, Member("d", 4), Member("e", 5)):
         core.progress[member].acked_at_seconds = 10.0
