--- a/sesameford/log_core.py
+++ b/sesameford/log_core.py
@@ -249,7 +249,7 @@
     core.log.compact(image.index - trailing_entries)
 
 
-def hand_over(core: Core, now_seconds: float) -> bool:
+def transfer_leadership(core: Core, now_seconds: float) -> bool:
     """Let a leader that stops as planned ask the best follower to take over.
 
     Without this every planned stop of a leader would hold up changes and keyed
--- a/sesameford/log_replica.py
+++ b/sesameford/log_replica.py
@@ -13,7 +13,7 @@
     committed,
     compact,
     effects,
-    hand_over,
+    transfer_leadership,
     make_core,
     persisted,
     propose,
@@ -86,9 +86,9 @@
         """Append commands, if this replica leads."""
         return propose(self.core, tuple(commands))
 
-    def hand_over(self, now_seconds: float) -> bool:
+    def transfer_leadership(self, now_seconds: float) -> bool:
         """Ask the best follower to lead, if this replica leads."""
-        return hand_over(self.core, now_seconds)
+        return transfer_leadership(self.core, now_seconds)
 
     def begin_flush(self, now_seconds: float) -> FlushJob | None:
         """Send what need not wait, and return what the disk must take.
--- a/sesameford/log_service.py
+++ b/sesameford/log_service.py
@@ -136,7 +136,7 @@
             await wait([self._reopening])
         if self._replica is not None and self._flusher is not None:
             await self._flusher.stop()
-            if self._failure is None and self._replica.hand_over(self._now()):
+            if self._failure is None and self._replica.transfer_leadership(self._now()):
                 self._flusher.flush_here()
             self._replica.storage.close()
         self._proposer.fail_all(NoQuorumError("this instance stops"))
--- a/tests/test_log_fuzz.py
+++ b/tests/test_log_fuzz.py
@@ -235,7 +235,7 @@
     def hand_over(self, node: int) -> None:
         name = self._name(node)
         clock = self.world.clock(name)
-        self.world.act(name, lambda replica: replica.hand_over(clock))
+        self.world.act(name, lambda replica: replica.transfer_leadership(clock))
 
     @rule(wanted=st.sets(numbers, min_size=1))
     def want_voters(self, wanted: set[int]) -> None:
