--- a/sesameford/log_apply.py
+++ b/sesameford/log_apply.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Applied:
+class AppliedProposal:
     """What became of one committed proposal.
 
     ``first`` is False for a resend, which changed nothing. ``refused`` says that
@@ -54,7 +54,7 @@
         self.proposals = ProposalTable() if proposals is None else proposals
         self.applied_index = 0
 
-    def apply(self, entry: Entry) -> Applied | None:
+    def apply(self, entry: Entry) -> AppliedProposal | None:
         """Apply the next committed entry.
 
         Args:
@@ -73,14 +73,16 @@
             return None
         return self._apply_command(entry.index, entry.content)
 
-    def known(self, command: Command) -> Applied | None:
+    def find_applied(self, command: Command) -> AppliedProposal | None:
         """Return the first answer of a proposal that was applied before."""
         row = self.proposals.find(command.proposal_id)
         if row is None:
             return None
         same = row.digest == command_digest(command.machine, command.command)
         answer = row.answer if same else b"the id was used for another command"
-        return Applied(row.index, command, answer, first=False, refused=not same)
+        return AppliedProposal(
+            row.index, command, answer, first=False, refused=not same
+        )
 
     def snapshot(self) -> bytes:
         """Return the state after ``applied_index``."""
@@ -108,17 +110,17 @@
             machine.restore(found.machines.get(name, self._initial[name]))
         self.applied_index = index
 
-    def _apply_command(self, index: int, command: Command) -> Applied:
+    def _apply_command(self, index: int, command: Command) -> AppliedProposal:
         """Give a command to its machine, unless its id was accepted before."""
-        known = self.known(command)
+        known = self.find_applied(command)
         if known is not None:
             return known
         machine = self._machines.get(command.machine)
         if machine is None:
             answer = f"no state machine {command.machine}".encode()
-            return Applied(index, command, answer, first=True, refused=True)
+            return AppliedProposal(index, command, answer, first=True, refused=True)
         answer = machine.apply(index, command.command)
         digest = command_digest(command.machine, command.command)
         row = AcceptedProposal(command.proposal_id, digest, index, answer)
         self.proposals.add(row)
-        return Applied(index, command, answer, first=True, refused=False)
+        return AppliedProposal(index, command, answer, first=True, refused=False)
--- a/sesameford/log_membership.py
+++ b/sesameford/log_membership.py
@@ -141,7 +141,9 @@
     if core.desired_voters is None or len(present.voters) < 2:
         return None
     unwanted = [
-        voter for voter in present.voters if voter.instance_id not in core.desired_voters
+        voter
+        for voter in present.voters
+        if voter.instance_id not in core.desired_voters
     ]
     if len(unwanted) == len(present.voters):
         return None
--- a/sesameford/log_replica.py
+++ b/sesameford/log_replica.py
@@ -7,18 +7,18 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from sesameford.log_apply import Applied, Applier
+from sesameford.log_apply import AppliedProposal, Applier
 from sesameford.log_core import (
     TRAILING_ENTRIES,
     committed,
     compact,
     effects,
-    transfer_leadership,
     make_core,
     persisted,
     propose,
     receive,
     tick,
+    transfer_leadership,
 )
 from sesameford.log_messages import Command, Packet
 from sesameford.log_state import Core, Effects, Role, SnapshotImage, StoredState
@@ -61,7 +61,7 @@
         storage: LogStorage,
         applier: Applier,
         send: Callable[[Packet], None],
-        applied: Callable[[Applied], None],
+        applied: Callable[[AppliedProposal], None],
         snapshot_entries: int = SNAPSHOT_ENTRIES,
         trailing_entries: int = TRAILING_ENTRIES,
     ) -> None:
@@ -194,7 +194,7 @@
     peer_ids: tuple[str, ...],
     machines: Sequence[StateMachine],
     send: Callable[[Packet], None],
-    applied: Callable[[Applied], None],
+    applied: Callable[[AppliedProposal], None],
     seed: int,
     now_seconds: float,
     snapshot_entries: int = SNAPSHOT_ENTRIES,
--- a/sesameford/log_service.py
+++ b/sesameford/log_service.py
@@ -14,7 +14,7 @@
     ProposalRefusedError,
     StorageError,
 )
-from sesameford.log_apply import Applied
+from sesameford.log_apply import AppliedProposal
 from sesameford.log_flusher import Flusher
 from sesameford.log_messages import Command, Packet, decode_packet, encode_packet
 from sesameford.log_proposer import PendingProposal, Proposer
@@ -348,7 +348,7 @@
         replica = self._living_replica()
         if replica is None or self._stopped:
             return False
-        known = replica.applier.known(command)
+        known = replica.applier.find_applied(command)
         if known is not None:
             self._answer(origin, known)
             return True
@@ -364,7 +364,7 @@
         waiting.origins.add(origin)
         return True
 
-    def _applied(self, applied: Applied) -> None:
+    def _applied(self, applied: AppliedProposal) -> None:
         """Answer those who wait for a committed proposal."""
         command = applied.command
         waiting = self._waiting.pop(command.proposal_id, None)
@@ -373,7 +373,7 @@
         if self._proposer.find(command.proposal_id) is not None:
             self._answer(self._instance_id, applied)
 
-    def _answer(self, origin: str, applied: Applied) -> None:
+    def _answer(self, origin: str, applied: AppliedProposal) -> None:
         """Tell one proposer what became of its proposal."""
         proposal_id = applied.command.proposal_id
         if origin != self._instance_id:
--- a/tests/log_world.py
+++ b/tests/log_world.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from sesameford.fencing import FencingMachine
-from sesameford.log_apply import Applied
+from sesameford.log_apply import AppliedProposal
 from sesameford.log_core import has_lease, make_core
 from sesameford.log_messages import (
     Command,
@@ -340,7 +340,7 @@
             assert first == packet.receiver_id, "a replica voted twice in one term"
         self.in_flight.append((sender, packet.receiver_id, encode_packet(packet)))
 
-    def _applied(self, applied: Applied) -> None:
+    def _applied(self, applied: AppliedProposal) -> None:
         """Hold what a replica applied against the oracle."""
         row = (applied.command, applied.answer)
         if applied.index in self.log:
@@ -360,7 +360,7 @@
         for listener in self.listeners:
             listener(applied.command, expected)
 
-    def _expected(self, applied: Applied) -> bytes:
+    def _expected(self, applied: AppliedProposal) -> bytes:
         """Return what the oracle answers to a command seen first."""
         command = applied.command
         if command.machine == "fencing":
