--- a/sesameford/log_apply.py
+++ b/sesameford/log_apply.py
@@ -1,4 +1,4 @@
-"""Feeds committed entries to the state machines, each proposal once."""
+"""Applies committed entries to the state machines, each proposal once."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 
 class _MachineSnapshots(Struct, frozen=True, array_like=True):
-    """The state of all machines and of the table of proposals."""
+    """The encoded states of all state machines and of the proposal table."""
 
     proposals: bytes
     machines: dict[str, bytes]
@@ -25,10 +25,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AppliedProposal:
-    """What became of one committed proposal.
+    """The outcome of one committed proposal.
 
-    ``first`` is False for a resend, which changed nothing. ``refused`` says that
-    the id was used before for another command, or that no machine has the name.
+    ``first`` is False for a resend, which changed nothing. ``refused`` is True if the
+    id was used before for another command, or if no state machine has the name.
     """
 
     index: int
@@ -39,10 +39,10 @@
 
 
 class Applier:
-    """The state machines of one replica.
+    """Applies committed entries to the state machines of one replica.
 
     Args:
-        machines: Each with its own name.
+        machines: The state machines, each with a unique name.
         proposals: The table that recognises resends.
     """
 
@@ -58,13 +58,13 @@
         """Apply the next committed entry.
 
         Args:
-            entry: It must follow the last one.
+            entry: The entry after the last applied one.
 
         Returns:
-            What became of a proposal, or None for an entry of the log's own.
+            The outcome of a proposal, or None for an internal entry of the log.
 
         Raises:
-            LogError: The entry does not follow the last one.
+            LogError: The entry does not follow the last applied one.
         """
         if entry.index != self.applied_index + 1:
             raise LogError(f"entry {entry.index} follows {self.applied_index}")
@@ -74,7 +74,7 @@
         return self._apply_command(entry.index, entry.content)
 
     def find_applied(self, command: Command) -> AppliedProposal | None:
-        """Return the first answer of a proposal that was applied before."""
+        """Return the first outcome of a proposal that was applied before, or None."""
         row = self.proposals.find(command.proposal_id)
         if row is None:
             return None
@@ -85,21 +85,21 @@
         )
 
     def snapshot(self) -> bytes:
-        """Return the state after ``applied_index``."""
+        """Return the encoded state after ``applied_index``."""
         machines = {name: m.snapshot() for name, m in self._machines.items()}
         return _encoder.encode(_MachineSnapshots(self.proposals.snapshot(), machines))
 
     def restore(self, index: int, snapshot: bytes) -> None:
         """Replace the state by that of a snapshot.
 
-        A machine that the snapshot does not know yet begins anew.
+        A state machine that the snapshot doesn't contain returns to its initial state.
 
         Args:
             index: The last index that the snapshot covers.
-            snapshot: What ``snapshot`` made on some replica.
+            snapshot: The result of ``snapshot`` on any replica.
 
         Raises:
-            LogError: The bytes are no snapshot.
+            LogError: The bytes are not a snapshot.
         """
         try:
             found = _decoder.decode(snapshot)
@@ -111,10 +111,10 @@
         self.applied_index = index
 
     def _apply_command(self, index: int, command: Command) -> AppliedProposal:
-        """Give a command to its machine, unless its id was accepted before."""
-        known = self.find_applied(command)
-        if known is not None:
-            return known
+        """Apply a command to its state machine unless its id was accepted before."""
+        earlier = self.find_applied(command)
+        if earlier is not None:
+            return earlier
         machine = self._machines.get(command.machine)
         if machine is None:
             answer = f"no state machine {command.machine}".encode()
--- a/sesameford/log_entries.py
+++ b/sesameford/log_entries.py
@@ -1,4 +1,4 @@
-"""The part of the log that a replica holds in memory."""
+"""The part of the log that a replica has in memory."""
 
 from collections.abc import Iterable
 
@@ -6,13 +6,13 @@
 
 
 class LogEntries:
-    """Entries after a base position, which stands in a snapshot.
+    """Entries after a base index, up to which a snapshot covers the log.
 
     Args:
-        base_index: The last index that is not held any more.
+        base_index: The last index whose entry is not in memory.
         base_term: The term of that index.
         base_configuration: The configuration in force at that index.
-        entries: What follows, without gaps.
+        entries: The entries after it, without gaps.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
 
     @property
     def configuration_index(self) -> int:
-        """Where the newest configuration stands."""
+        """The index of the newest configuration."""
         return self._configurations[-1][0] if self._configurations else 0
 
     def configuration_at(self, index: int) -> Configuration | None:
@@ -59,7 +59,7 @@
         return None
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an index, or None where it is not held."""
+        """Return the term of an index, or None if it is not in memory."""
         if index == self.base_index:
             return self.base_term
         if not self.base_index < index <= self.last_index:
@@ -72,7 +72,7 @@
         if isinstance(entry.content, Configuration):
             self._configurations.append((entry.index, entry.content))
 
-    def cut_from(self, index: int) -> None:
+    def truncate_from(self, index: int) -> None:
         """Drop the entry at an index and all after it."""
         del self._entries[index - self.base_index - 1 :]
         while self._configurations and self._configurations[-1][0] >= index:
@@ -84,9 +84,9 @@
         """Return the entries of a range, both ends included.
 
         Args:
-            first_index: Where to begin; must be held.
-            last_index: Where to end.
-            limit_bytes: Stop before more than this, but never before the first.
+            first_index: The first index; must be in memory.
+            last_index: The last index.
+            limit_bytes: Maximum total size; the first entry is returned in any case.
         """
         first = first_index - self.base_index - 1
         found = self._entries[first : last_index - self.base_index]
@@ -113,6 +113,6 @@
 
 
 def entry_size_bytes(entry: Entry) -> int:
-    """Return about how many bytes an entry takes in a message."""
+    """Return the approximate size of an entry in a message."""
     command = getattr(entry.content, "command", b"")
     return len(command) + 64
--- a/sesameford/log_messages.py
+++ b/sesameford/log_messages.py
@@ -1,7 +1,7 @@
 """Types of the replicated log: members, entries, and messages between replicas.
 
-Links lose, double and reorder, so each message can be taken twice or late: it
-carries absolute positions, never differences.
+Links lose, duplicate and reorder messages. Each message may be handled twice or late,
+so it carries absolute positions, never differences.
 """
 
 from msgspec import DecodeError, Struct, ValidationError
@@ -13,8 +13,8 @@
 class Member(Struct, frozen=True, array_like=True, order=True):
     """A replica's identity: its instance and the incarnation of its disk.
 
-    A replica whose disk was emptied comes back with another incarnation. What
-    it once voted or acknowledged is forgotten, so it must not count as before.
+    A replica whose disk was emptied returns with another incarnation. It has lost its
+    earlier votes and acknowledgements, so it must not count as the same replica.
     """
 
     instance_id: str
@@ -22,7 +22,7 @@
 
 
 class Configuration(Struct, frozen=True, tag=1, array_like=True):
-    """Who votes and who only follows; in force as soon as it is in the log."""
+    """The voters and learners; in force as soon as it is in the log."""
 
     cluster_id: int
     voters: tuple[Member, ...]
@@ -30,7 +30,10 @@
 
 
 class Command(Struct, frozen=True, tag=2, array_like=True):
-    """A proposal for one of the state machines; the id stays over resends."""
+    """A proposal for a state machine; resends keep the id.
+
+    ``machine`` is the name of the state machine.
+    """
 
     proposal_id: str
     machine: str
@@ -38,14 +41,14 @@
 
 
 class TermStart(Struct, frozen=True, tag=3, array_like=True):
-    """A new leader's first entry, which commits all that stands before it."""
+    """A new leader's first entry, which commits all entries before it."""
 
 
 Content = Configuration | Command | TermStart
 
 
 class Entry(Struct, frozen=True, array_like=True):
-    """One place in the log."""
+    """One entry of the log."""
 
     index: int
     term: int
@@ -53,48 +56,49 @@
 
 
 class HardState(Struct, frozen=True, array_like=True):
-    """What a replica must never forget: its term and its vote in it."""
+    """The state that must survive a restart: the term and the vote in it."""
 
     term: int = 0
     voted_for: Member | None = None
 
 
 class Announce(Struct, frozen=True, tag=1, array_like=True):
-    """I am a replica outside the configuration; take me in."""
+    """Announces a replica outside the configuration, to be added as a learner."""
 
     has_entries: bool
 
 
 class VoteRequest(Struct, frozen=True, tag=2, array_like=True):
-    """Vote for me; ``pre`` asks whether you would, and binds nobody.
+    """Requests a vote, or with ``pre`` a pre-vote, which commits no voter to it.
 
-    ``transfer`` says that the leader itself asked for this election. ``fresh_token``
-    is the receiver's own of a ``VoteReply``, where all voters have sent one.
+    ``transfer`` marks an election that the leader itself requested. ``start_token``
+    is the token from the receiver's ``VoteReply`` to the pre-vote, or 0.
     """
 
     pre: bool
     last_index: int
     last_term: int
     transfer: bool = False
-    fresh_token: int = 0
+    start_token: int = 0
 
 
 class VoteReply(Struct, frozen=True, tag=3, array_like=True):
-    """The answer to a request for a vote in the packet's term.
+    """The reply to a vote request in the packet's term.
 
-    ``fresh_token`` is of a replica that leads nobody and has heard no leader since it
-    started, but may have promised one its silence just before; 0 of any other.
+    ``start_token`` identifies the start of a replica that has not led or followed a
+    leader since then, but whose earlier acknowledgement a leader's lease may still rely
+    on. Other replies contain 0.
     """
 
     pre: bool
     granted: bool
-    fresh_token: int = 0
+    start_token: int = 0
 
 
 class AppendRequest(Struct, frozen=True, tag=4, array_like=True):
-    """Entries after a position, or none as a heartbeat.
+    """Entries after a position; a heartbeat has none.
 
-    ``sent_at_seconds`` is the leader's clock and comes back in the reply.
+    ``sent_at_seconds`` is the time on the leader's clock, returned in the reply.
     """
 
     previous_index: int
@@ -105,9 +109,9 @@
 
 
 class AppendReply(Struct, frozen=True, tag=5, array_like=True):
-    """What the follower has on its disk, up to ``match_index``, as the leader has.
+    """Reports that the follower's disk matches the leader's log up to ``match_index``.
 
-    If not ``matched``, the leader should go back to ``match_index``.
+    If not ``matched``, the leader has to go back to ``match_index``.
     """
 
     matched: bool
@@ -116,7 +120,7 @@
 
 
 class SnapshotChunk(Struct, frozen=True, tag=6, array_like=True):
-    """A part of the encoded snapshot up to an index."""
+    """A chunk of the encoded snapshot up to an index."""
 
     index: int
     index_term: int
@@ -127,7 +131,7 @@
 
 
 class SnapshotReply(Struct, frozen=True, tag=7, array_like=True):
-    """The next part of the snapshot that the follower wants."""
+    """Requests the snapshot chunk at an offset."""
 
     index: int
     offset_bytes: int
@@ -135,7 +139,7 @@
 
 
 class TimeoutNow(Struct, frozen=True, tag=8, array_like=True):
-    """The leader stops as planned and asks the receiver to take over."""
+    """Transfers leadership: requests that the receiver start an election now."""
 
 
 Body = (
@@ -151,7 +155,7 @@
 
 
 class Packet(Struct, frozen=True, array_like=True):
-    """One message from replica to replica.
+    """A message between two replicas, with its addresses and the sender's term.
 
     ``receiver_incarnation`` 0 means any. ``cluster_id`` 0 means that the sender
     belongs to no cluster yet.
@@ -170,21 +174,21 @@
 
 
 def encode_packet(packet: Packet) -> bytes:
-    """Return the bytes of a packet."""
+    """Return the encoded packet."""
     return _encoder.encode(packet)
 
 
 def decode_packet(encoded: bytes) -> Packet:
-    """Return the packet in a peer's bytes.
+    """Decode a packet from a peer.
 
     Args:
-        encoded: Bytes from outside, not trusted.
+        encoded: Untrusted bytes.
 
     Returns:
         The packet.
 
     Raises:
-        PeerError: The bytes are no packet.
+        PeerError: The bytes are not a packet.
     """
     try:
         return _packet_decoder.decode(encoded)
--- a/sesameford/log_replication.py
+++ b/sesameford/log_replication.py
@@ -1,4 +1,4 @@
-"""Replication: what a leader sends its followers, and what they make of it."""
+"""Log replication: append requests, snapshot installation and the commit index."""
 
 from sesameford.errors import LogError
 from sesameford.log_entries import LogEntries
@@ -14,20 +14,20 @@
 from sesameford.log_snapshot import decode_image, encode_image
 from sesameford.log_state import (
     APPEND_LIMIT_BYTES,
-    IN_FLIGHT_ENTRIES,
+    MAX_IN_FLIGHT_ENTRIES,
     Core,
     FollowerProgress,
     IncomingSnapshot,
     Role,
     SnapshotImage,
     append_entry,
-    cut_log,
     send,
+    truncate_log,
 )
 
 
-def match_progress(core: Core) -> None:
-    """Keep a row of progress for each other member and for no one else."""
+def update_progress_members(core: Core) -> None:
+    """Add missing members to the progress table and remove former members."""
     others = core.others
     for member in others:
         if member not in core.progress:
@@ -38,33 +38,33 @@
 
 
 def broadcast(core: Core, now_seconds: float, heartbeat: bool = False) -> None:
-    """Send each other member what it lacks.
+    """Send each other member the entries or snapshot chunk that it lacks.
 
     Args:
         core: The leader.
-        now_seconds: The present time.
-        heartbeat: Send also to those that lack nothing, and repeat what may be
-            lost.
+        now_seconds: The current time.
+        heartbeat: Send also to members that lack nothing, and repeat a snapshot
+            chunk that may be lost.
     """
     for member, progress in core.progress.items():
-        _send_to(core, member, progress, now_seconds, heartbeat)
+        _replicate_to(core, member, progress, now_seconds, heartbeat)
 
 
-def _send_to(
+def _replicate_to(
     core: Core,
     member: Member,
     progress: FollowerProgress,
     now_seconds: float,
     heartbeat: bool,
 ) -> None:
-    """Send one member the next entries, or a part of the snapshot."""
+    """Send one member the next entries or snapshot chunk."""
     log = core.log
     if progress.next_index <= log.base_index:
-        _send_chunk(core, member, progress, now_seconds, heartbeat)
+        _send_snapshot_chunk(core, member, progress, now_seconds, heartbeat)
         return
     entries: tuple[Entry, ...] = ()
     in_flight = progress.next_index - 1 - progress.match_index
-    if progress.next_index <= log.last_index and in_flight < IN_FLIGHT_ENTRIES:
+    if progress.next_index <= log.last_index and in_flight < MAX_IN_FLIGHT_ENTRIES:
         entries = log.between(progress.next_index, log.last_index, APPEND_LIMIT_BYTES)
     if not entries and not heartbeat:
         return
@@ -76,18 +76,18 @@
         commit_index=core.commit_index,
         sent_at_seconds=now_seconds,
     )
-    send(core, member, request, early=True)
+    send(core, member, request, before_sync=True)
     progress.next_index += len(entries)
 
 
-def _send_chunk(
+def _send_snapshot_chunk(
     core: Core,
     member: Member,
     progress: FollowerProgress,
     now_seconds: float,
     heartbeat: bool,
 ) -> None:
-    """Send a part of the snapshot, once per wish of the follower or heartbeat."""
+    """Send a snapshot chunk, once for each requested offset and at each heartbeat."""
     image = core.snapshot
     if image is None:
         raise LogError("the log was compacted without a snapshot")
@@ -110,19 +110,19 @@
         data=encoded[offset : offset + core.chunk_bytes],
         sent_at_seconds=now_seconds,
     )
-    send(core, member, chunk, early=True)
+    send(core, member, chunk, before_sync=True)
 
 
-def append_requested(core: Core, packet: Packet, body: AppendRequest) -> None:
-    """Take a leader's entries and say, once they are synced, how far we match.
+def handle_append_request(core: Core, packet: Packet, body: AppendRequest) -> None:
+    """Append a leader's entries; the reply with the match index follows the sync.
 
     Raises:
-        LogError: The leader would replace what is committed here.
+        LogError: The leader would replace entries that are committed here.
     """
     log = core.log
     previous_index, entries = body.previous_index, body.entries
     if previous_index < log.base_index:
-        # What the snapshot covers is committed and so the same at every leader.
+        # Entries covered by the snapshot are committed, so every leader has the same.
         entries = tuple(entry for entry in entries if entry.index > log.base_index)
         previous_index = log.base_index
     elif log.term_at(previous_index) != body.previous_term:
@@ -131,26 +131,30 @@
         send(core, packet.sender, AppendReply(False, back_to, body.sent_at_seconds))
         return
     for entry in entries:
-        _take_entry(core, entry)
+        _store_entry(core, entry)
     match_index = previous_index + len(entries)
     core.commit_index = max(core.commit_index, min(body.commit_index, match_index))
     send(core, packet.sender, AppendReply(True, match_index, body.sent_at_seconds))
 
 
-def _take_entry(core: Core, entry: Entry) -> None:
-    """Append an entry unless it is there, in place of another leader's."""
+def _store_entry(core: Core, entry: Entry) -> None:
+    """Append an entry unless it is present, replacing conflicting entries.
+
+    Raises:
+        LogError: The conflicting entry is committed.
+    """
     term = core.log.term_at(entry.index)
     if term == entry.term:
         return
     if term is not None:
         if entry.index <= core.commit_index:
             raise LogError(f"a leader would replace committed entry {entry.index}")
-        cut_log(core, entry.index)
+        truncate_log(core, entry.index)
     append_entry(core, entry)
 
 
-def append_replied(core: Core, packet: Packet, body: AppendReply) -> None:
-    """Note how far a follower is."""
+def handle_append_reply(core: Core, packet: Packet, body: AppendReply) -> None:
+    """Record a follower's progress; after a mismatch go back to its match index."""
     progress = core.progress.get(packet.sender)
     if progress is None:
         return
@@ -160,8 +164,8 @@
         progress.next_index = max(progress.next_index, progress.match_index + 1)
         advance_commit(core)
         return
-    # One lost message makes the follower reject all that were under way behind
-    # it. Going back for each of them would send the same entries many times.
+    # After one lost message the follower rejects all later messages in flight. Going
+    # back for each rejection would send the same entries many times.
     is_newer = body.sent_at_seconds > progress.rewound_at_seconds
     if is_newer or body.match_index < progress.rewound_to_index:
         progress.rewound_at_seconds = body.sent_at_seconds
@@ -171,11 +175,11 @@
 
 
 def advance_commit(core: Core) -> None:
-    """Commit what a majority of voters has synced.
+    """Advance the commit index to the newest entry synced by a majority of voters.
 
-    Only an entry of the leader's own term is counted: an older one on a majority
-    may still be replaced by a leader that has a newer entry in its place, and a
-    caller would see an accepted change vanish.
+    Only entries of the leader's own term are counted. An older entry on a majority can
+    still be replaced by a leader with a newer entry at its index, and an accepted
+    change would be lost.
     """
     if core.role is not Role.LEADER or not core.voters:
         return
@@ -188,11 +192,11 @@
         core.commit_index = index
 
 
-def chunk_received(core: Core, packet: Packet, body: SnapshotChunk) -> None:
-    """Collect the leader's snapshot, and take it over once it is complete."""
-    known = core.log.term_at(body.index) == body.index_term
-    if body.index <= core.commit_index or known:
-        # A snapshot covers only what is committed, and the log has it already.
+def handle_snapshot_chunk(core: Core, packet: Packet, body: SnapshotChunk) -> None:
+    """Collect the chunks of a leader's snapshot and install it once complete."""
+    in_log = core.log.term_at(body.index) == body.index_term
+    if body.index <= core.commit_index or in_log:
+        # A snapshot covers only committed entries, and the log has these already.
         core.commit_index = max(core.commit_index, body.index)
         send(core, packet.sender, AppendReply(True, body.index, body.sent_at_seconds))
         return
@@ -203,33 +207,33 @@
     if body.offset_bytes == len(incoming.data):
         incoming.data += body.data
     if len(incoming.data) < incoming.total_bytes:
-        wanted = SnapshotReply(body.index, len(incoming.data), body.sent_at_seconds)
-        send(core, packet.sender, wanted)
+        reply = SnapshotReply(body.index, len(incoming.data), body.sent_at_seconds)
+        send(core, packet.sender, reply)
         return
     core.incoming = None
-    _install(core, decode_image(bytes(incoming.data)))
+    _install_snapshot(core, decode_image(bytes(incoming.data)))
     send(core, packet.sender, AppendReply(True, body.index, body.sent_at_seconds))
 
 
-def _install(core: Core, image: SnapshotImage) -> None:
-    """Put a snapshot in place of a log that ends before it or contradicts it."""
+def _install_snapshot(core: Core, image: SnapshotImage) -> None:
+    """Replace a log that ends before the snapshot or conflicts with it."""
     core.log = LogEntries(image.index, image.index_term, image.configuration)
     core.snapshot = image
     core.new_snapshot = image
     core.commit_index = image.index
     core.synced_index = image.index
-    core.handed_index = image.index
+    core.emitted_index = image.index
 
 
-def chunk_replied(core: Core, packet: Packet, body: SnapshotReply) -> None:
-    """Note which part of the snapshot a follower wants next."""
+def handle_snapshot_reply(core: Core, packet: Packet, body: SnapshotReply) -> None:
+    """Record the snapshot offset that a follower requests next."""
     progress = core.progress.get(packet.sender)
     if progress is None:
         return
     progress.acked_at_seconds = max(progress.acked_at_seconds, body.sent_at_seconds)
     if progress.snapshot_index != body.index:
         return
-    # The wish may go back: a follower that started again has lost all the parts.
+    # The offset may go back: a restarted follower has lost all chunks.
     if body.sent_at_seconds >= progress.snapshot_replied_at_seconds:
         progress.snapshot_replied_at_seconds = body.sent_at_seconds
         progress.snapshot_offset_bytes = body.offset_bytes
--- a/sesameford/log_snapshot.py
+++ b/sesameford/log_snapshot.py
@@ -1,4 +1,4 @@
-"""The coding of snapshots, as they stand on the disk and go to other replicas."""
+"""The encoding of snapshots on the disk and between replicas."""
 
 from msgspec import DecodeError, Struct, ValidationError
 from msgspec.msgpack import Decoder, Encoder
@@ -9,7 +9,7 @@
 
 
 class _EncodedImage(Struct, frozen=True, array_like=True):
-    """The form of a snapshot outside a process."""
+    """The format of a snapshot on the disk and in messages."""
 
     index: int
     index_term: int
@@ -22,23 +22,23 @@
 
 
 def encode_image(image: SnapshotImage) -> bytes:
-    """Return the bytes of a snapshot."""
+    """Return the encoded snapshot."""
     return _encoder.encode(
         _EncodedImage(image.index, image.index_term, image.configuration, image.data)
     )
 
 
 def decode_image(encoded: bytes) -> SnapshotImage:
-    """Return the snapshot in bytes whose checksum is right.
+    """Decode a snapshot whose checksum has been verified.
 
     Args:
-        encoded: What ``encode_image`` made.
+        encoded: The result of ``encode_image``.
 
     Returns:
         The snapshot.
 
     Raises:
-        LogError: The bytes are no snapshot.
+        LogError: The bytes are not a snapshot.
     """
     try:
         image = _decoder.decode(encoded)
--- a/sesameford/log_state.py
+++ b/sesameford/log_state.py
@@ -1,8 +1,8 @@
-"""The state of one replica's consensus, and how it puts out what is to be done.
+"""The consensus state of one replica, and the effects that it collects.
 
 The modules ``log_core``, ``log_election``, ``log_replication`` and
-``log_membership`` decide over this state. They do no I/O: what must reach the disk
-and what may be sent afterwards is collected here and taken by the shell.
+``log_membership`` decide on this state. They do no I/O: disk writes and packets
+are collected here, and the shell carries them out.
 """
 
 from collections.abc import Mapping
@@ -20,36 +20,38 @@
     Packet,
 )
 
-# A leader speaks this often; a tick is as long, so that it speaks at each.
+# As long as a tick, so that a leader sends a heartbeat at each tick.
 HEARTBEAT_SECONDS = 0.1
-# A follower that heard its leader is silent for so long, whatever it sees. Two to four
-# heartbeats of a healthy leader fit in.
+# A follower grants no vote for this long after a message from its leader, and waits at
+# least as long before it starts an election. Two to four heartbeats of a healthy leader
+# fit in.
 ELECTION_MIN_SECONDS = 0.5
-# The longest that a follower waits for a leader. It waits once or twice the base, which
-# follows from the pauses between heartbeats that it saw of late.
+# Upper bound of the election timeout, which is random between one and two times a base.
 ELECTION_MAX_SECONDS = 2.0
-ELECTION_PAUSES = 2.5
-# What is left of the longest pause seen at each heartbeat: a stall of the leader's
-# machine is remembered for some ten seconds.
-PAUSE_KEPT_PART = 0.98
-# A replica that has just started asks this often whether all voters have.
-FRESH_ASK_MIN_SECONDS = 0.1
-FRESH_ASK_MAX_SECONDS = 0.2
-FRESH_TOKEN_BITS = 48
-# A leader that no majority answers for so long steps down.
+# The base as a multiple of the longest recent pause between heartbeats.
+ELECTION_TIMEOUT_PAUSES = 2.5
+# Factor on the longest pause at each heartbeat: a stall of the leader's host affects
+# the election timeout for about ten seconds.
+PAUSE_DECAY_FACTOR = 0.98
+# Bounds of the random wait between pre-votes of a newly started replica, which ask
+# whether all voters have restarted.
+INITIAL_PRE_VOTE_MIN_SECONDS = 0.1
+INITIAL_PRE_VOTE_MAX_SECONDS = 0.2
+START_TOKEN_BITS = 48
+# A leader steps down after this long without replies from a majority.
 QUORUM_SECONDS = 1.0
-# A follower keeps its promise on its own clock, whose rate may differ.
+# Shorter than the time in which a follower grants no vote, as clock rates may differ.
 LEASE_SECONDS = ELECTION_MIN_SECONDS * 0.9
 ANNOUNCE_SECONDS = 0.5
 ANNOUNCEMENT_VALID_SECONDS = 3.0
 APPEND_LIMIT_BYTES = 512_000
 CHUNK_BYTES = 512_000
-# More than this unacknowledged, and a follower is waited for.
-IN_FLIGHT_ENTRIES = 4096
+# With as many unacknowledged entries, a leader waits for the follower.
+MAX_IN_FLIGHT_ENTRIES = 4096
 
 
 class Role(StrEnum):
-    """What a replica does at present."""
+    """The current role of a replica."""
 
     LEARNER = "learner"
     FOLLOWER = "follower"
@@ -60,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotImage:
-    """A snapshot up to an index; ``data`` is the encoded state of the machines."""
+    """A snapshot up to an index; ``data`` is the encoded state machines."""
 
     index: int
     index_term: int
@@ -70,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredState:
-    """What a replica finds on its disk at its start."""
+    """The state that a replica reads from its disk at its start."""
 
     me: Member
     hard_state: HardState = field(default_factory=HardState)
@@ -80,9 +82,9 @@
 
 @dataclass(slots=True)
 class FollowerProgress:
-    """How far one other member is, as its leader knows.
+    """The leader's view of the replication progress of one other member.
 
-    ``acked_at_seconds`` is when the newest message that it answered was sent.
+    ``acked_at_seconds`` is the send time of the newest message that it answered.
     """
 
     match_index: int = 0
@@ -98,9 +100,10 @@
 
 @dataclass(slots=True)
 class IncomingSnapshot:
-    """The parts of a leader's snapshot that have arrived in order.
+    """The chunks of a leader's snapshot that have arrived in order.
 
-    Another leader's snapshot up to the same index may have other bytes.
+    Another leader's snapshot up to the same index may have other bytes, so the
+    term identifies it as well.
     """
 
     index: int
@@ -111,23 +114,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Effects:
-    """What the shell has to do, in this order.
+    """The work of the shell, in this order.
 
-    Send ``early``; write ``snapshot``, ``hard_state`` and ``entries`` (the first of
-    them replaces what stands at its index and after it); sync; send ``late``.
+    Send ``packets_before_sync``; write ``snapshot``, ``hard_state`` and ``entries``
+    (the first of them replaces the log from its index on); sync; send
+    ``packets_after_sync``.
     """
 
-    early: tuple[Packet, ...]
+    packets_before_sync: tuple[Packet, ...]
     snapshot: SnapshotImage | None
     hard_state: HardState | None
     entries: tuple[Entry, ...]
-    late: tuple[Packet, ...]
+    packets_after_sync: tuple[Packet, ...]
     last_index: int
     last_term: int
 
     @property
     def must_sync(self) -> bool:
-        """Whether anything goes to the disk."""
+        """Whether anything must be written to the disk."""
         return bool(self.snapshot or self.hard_state or self.entries)
 
 
@@ -135,8 +139,9 @@
 class Core:
     """One replica's consensus state; see ``make_core``.
 
-    ``fresh_token`` names this start of the replica while it has heard no leader since;
-    ``fresh_voters`` are the tokens of those that answered a pre-vote with theirs.
+    ``start_token`` identifies this start of the replica until it follows a leader or
+    leads, then it is 0. ``voter_start_tokens`` are the tokens that voters reported in
+    reply to a pre-vote. ``emitted_index`` is the last entry that effects have covered.
     """
 
     me: Member
@@ -158,10 +163,10 @@
     leader_since_seconds: float = 0.0
     term_start_index: int = 0
     longest_pause_seconds: float = 0.0
-    fresh_token: int = 0
-    fresh_until_seconds: float = float("-inf")
+    start_token: int = 0
+    newly_started_until_seconds: float = float("-inf")
     votes: set[Member] = field(default_factory=set)
-    fresh_voters: dict[Member, int] = field(default_factory=dict)
+    voter_start_tokens: dict[Member, int] = field(default_factory=dict)
     progress: dict[Member, FollowerProgress] = field(default_factory=dict)
     announced: dict[str, tuple[Member, bool, float]] = field(default_factory=dict)
     incoming: IncomingSnapshot | None = None
@@ -169,15 +174,15 @@
 
     commit_index: int = 0
     synced_index: int = 0
-    handed_index: int = 0
+    emitted_index: int = 0
     hard_state_changed: bool = False
     new_snapshot: SnapshotImage | None = None
-    early: list[Packet] = field(default_factory=list)
-    late: list[Packet] = field(default_factory=list)
+    packets_before_sync: list[Packet] = field(default_factory=list)
+    packets_after_sync: list[Packet] = field(default_factory=list)
 
     @property
     def term(self) -> int:
-        """The present term."""
+        """The current term."""
         return self.hard_state.term
 
     @property
@@ -203,46 +208,46 @@
 
     @property
     def is_member(self) -> bool:
-        """Whether this identity stands in the newest configuration."""
+        """Whether the newest configuration contains this identity."""
         configuration = self.log.configuration
         if configuration is None:
             return False
         return self.me in configuration.voters + configuration.learners
 
     def is_quorum(self, members: set[Member]) -> bool:
-        """Return whether these are a majority of the voters."""
+        """Return whether the members include a majority of the voters."""
         voters = self.voters
         return 2 * sum(member in members for member in voters) > len(voters)
 
 
 def set_hard_state(core: Core, hard_state: HardState) -> None:
-    """Change term or vote; it must be synced before anything late is sent."""
+    """Set term and vote, to be synced before ``packets_after_sync`` are sent."""
     if hard_state != core.hard_state:
         core.hard_state = hard_state
         core.hard_state_changed = True
 
 
 def append_entry(core: Core, entry: Entry) -> None:
-    """Append to the log in memory; the next effects carry it to the disk."""
+    """Append to the log in memory; the next effects write it to the disk."""
     core.log.append(entry)
 
 
-def cut_log(core: Core, index: int) -> None:
-    """Drop the entries from an index on, which another leader has replaced."""
-    core.log.cut_from(index)
+def truncate_log(core: Core, index: int) -> None:
+    """Drop the entries from an index on, which conflict with those of a leader."""
+    core.log.truncate_from(index)
     core.synced_index = min(core.synced_index, index - 1)
-    core.handed_index = min(core.handed_index, index - 1)
+    core.emitted_index = min(core.emitted_index, index - 1)
 
 
-def send(core: Core, receiver: Member, body: Body, early: bool = False) -> None:
-    """Send to one incarnation of a replica.
+def send(core: Core, receiver: Member, body: Body, before_sync: bool = False) -> None:
+    """Queue a message to one incarnation of a replica.
 
     Args:
         core: The sender.
         receiver: Another replica.
-        body: What to say.
-        early: It says nothing about this replica's own disk, so it need not wait
-            for the sync; it does wait where the term itself is not yet synced.
+        body: The message.
+        before_sync: The message states nothing about this replica's own disk, so it
+            need not wait for the sync. It still waits if the term is not yet synced.
     """
     packet = Packet(
         sender=core.me,
@@ -252,35 +257,43 @@
         term=core.term,
         body=body,
     )
-    early = early and not core.hard_state_changed
-    (core.early if early else core.late).append(packet)
+    before_sync = before_sync and not core.hard_state_changed
+    (core.packets_before_sync if before_sync else core.packets_after_sync).append(
+        packet
+    )
 
 
-def take_effects(core: Core) -> Effects | None:
-    """Return what is to be done since the last call, or None."""
-    first_index = max(core.handed_index, core.log.base_index) + 1
+def drain_effects(core: Core) -> Effects | None:
+    """Return and clear the effects since the last call; None without any."""
+    first_index = max(core.emitted_index, core.log.base_index) + 1
     entries = core.log.between(first_index, core.log.last_index)
     hard_state = core.hard_state if core.hard_state_changed else None
-    if not (entries or hard_state or core.new_snapshot or core.early or core.late):
+    if not (
+        entries
+        or hard_state
+        or core.new_snapshot
+        or core.packets_before_sync
+        or core.packets_after_sync
+    ):
         return None
     effects = Effects(
-        early=tuple(core.early),
+        packets_before_sync=tuple(core.packets_before_sync),
         snapshot=core.new_snapshot,
         hard_state=hard_state,
         entries=entries,
-        late=tuple(core.late),
+        packets_after_sync=tuple(core.packets_after_sync),
         last_index=core.log.last_index,
         last_term=core.log.last_term,
     )
-    core.early, core.late = [], []
+    core.packets_before_sync, core.packets_after_sync = [], []
     core.new_snapshot = None
     core.hard_state_changed = False
-    core.handed_index = core.log.last_index
+    core.emitted_index = core.log.last_index
     return effects
 
 
 def members_by_id(configuration: Configuration | None) -> Mapping[str, Member]:
-    """Return the newest identity of each instance, a voter before a learner."""
+    """Return the newest identity of each instance; a voter precedes a learner."""
     if configuration is None:
         return {}
     members = configuration.learners + configuration.voters
--- a/sesameford/state_machine.py
+++ b/sesameford/state_machine.py
@@ -1,13 +1,13 @@
-"""The seam between the replicated log and what is kept in it."""
+"""The interface between the replicated log and its state machines."""
 
 from collections.abc import Awaitable, Callable
 from typing import Protocol
 
 
 class StateMachine(Protocol):
-    """A deterministic machine fed by committed commands, the same on all replicas.
+    """A replicated state machine: deterministic, driven by committed commands.
 
-    A machine never reads a clock: a command carries the time that it needs.
+    A state machine never reads a clock: a command contains the time that it needs.
     """
 
     name: str
@@ -16,20 +16,21 @@
         """Apply one committed command and return the answer for its proposer.
 
         Args:
-            index: The command's place in the log; it only grows.
-            command: Bytes in the machine's own coding. A malformed command must
-                be answered with a refusal, never raise: an exception here would
-                stop every replica at the same entry.
+            index: The command's log index, always higher than the last one.
+            command: Bytes in the state machine's own encoding. A malformed command
+                must be answered with a refusal and never raise: an exception here
+                would stop every replica at the same entry.
         """
 
     def snapshot(self) -> bytes:
-        """Return the whole state, with the tables that recognise resends."""
+        """Return the whole state, including the tables that recognise resends."""
 
     def restore(self, snapshot: bytes) -> None:
         """Replace the whole state by that of a snapshot."""
 
 
-# Brings a command for the named machine to agreement and returns its answer.
-# The proposal id stays the same over resends. Raises NoQuorumError, after which
-# the command may or may not be accepted later: the same id must be used again.
+# Proposes a command for the named state machine and returns its answer once committed.
+# Arguments: proposal id, state machine, command. Resends keep the proposal id. Raises
+# NoQuorumError, after which the command may still be accepted later: a retry must use
+# the same id.
 Propose = Callable[[str, str, bytes], Awaitable[bytes]]
