--- a/tests/log_world.py
+++ b/tests/log_world.py
@@ -1,4 +1,7 @@
-"""Replicas in virtual time with disks and links that fail, for the state machines."""
+"""A simulation of replicas in virtual time, with failing disks and links.
+
+Used by the Hypothesis state machines.
+"""
 
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
@@ -26,7 +29,7 @@
 
 
 class CrashError(Exception):
-    """The power fails here."""
+    """Simulates a power failure at this point."""
 
 
 class RevisionMachine:
@@ -53,7 +56,7 @@
 
 @dataclass
 class Disk:
-    """What is synced on one disk."""
+    """The synced contents of one disk."""
 
     me: Member
     hard_state: HardState = field(default_factory=HardState)
@@ -62,20 +65,22 @@
 
     def load(self) -> StoredState:
         base = self.snapshot.index if self.snapshot else 0
-        kept = [self.entries[index] for index in sorted(self.entries) if index > base]
-        assert [entry.index for entry in kept] == list(
-            range(base + 1, base + 1 + len(kept))
+        entries = [
+            self.entries[index] for index in sorted(self.entries) if index > base
+        ]
+        assert [entry.index for entry in entries] == list(
+            range(base + 1, base + 1 + len(entries))
         )
-        return StoredState(self.me, self.hard_state, self.snapshot, tuple(kept))
+        return StoredState(self.me, self.hard_state, self.snapshot, tuple(entries))
 
 
 class FakeStorage:
-    """Loses at a crash what was not synced, or keeps a part of it."""
+    """Storage that loses all or a part of the unsynced writes at a crash."""
 
     def __init__(self, disk: Disk) -> None:
         self.disk = disk
         self.crash_after: int | None = None
-        self.keep = 0
+        self.surviving_parts = 0
         self.pending: list[HardState | Entry | SnapshotImage] = []
 
     def write(self, batch: Batch) -> None:
@@ -98,8 +103,8 @@
         pass
 
     def crash(self) -> None:
-        """Let a part of what was written reach the disk all the same."""
-        self._persist(self.keep)
+        """Drop the unsynced writes except for the first ``surviving_parts``."""
+        self._persist(self.surviving_parts)
         self.pending = []
 
     def _maybe_crash(self) -> None:
@@ -136,18 +141,18 @@
 
 
 class World:
-    """Nodes, links and the oracle: a plain list of what was accepted."""
+    """Nodes, links and the oracle: a plain list of the accepted changes."""
 
     def __init__(self, size: int) -> None:
         self.now_seconds = 0.0
         self.names = [f"r{number}" for number in range(size)]
         self.random = Random(size)
         self.incarnations = 0
-        self.lost: dict[Member, float] = {}
-        self.wanted: frozenset[str] | None = None
+        self.lost_at_seconds: dict[Member, float] = {}
+        self.desired_voters: frozenset[str] | None = None
         self.in_flight: list[tuple[str, str, bytes]] = []
         self.blocked: set[tuple[str, str]] = set()
-        self.held: set[tuple[str, str]] = set()
+        self.paused_links: set[tuple[str, str]] = set()
         self.leaders: dict[int, Member] = {}
         self.votes: dict[tuple[Member, int], str] = {}
         self.log: dict[int, tuple[Command, bytes]] = {}
@@ -171,7 +176,7 @@
         return self.now_seconds * node.clock_rate + node.clock_offset_seconds
 
     def start(self, name: str) -> None:
-        """Start a process from what its disk holds."""
+        """Start a node's process from the contents of its disk."""
         node = self.nodes[name]
         node.storage = FakeStorage(node.disk)
         node.revisions, node.fencing = RevisionMachine(), FencingMachine()
@@ -182,17 +187,17 @@
             tuple(self.names),
             (node.revisions, node.fencing),
             lambda packet: self._send(name, packet),
-            lambda applied: self._applied(applied),
+            lambda applied: self._check_applied(applied),
             seed=self.incarnations,
             now_seconds=self.clock(name),
             snapshot_entries=8,
             trailing_entries=3,
         )
         node.replica.core.chunk_bytes = 100
-        node.replica.core.desired_voters = self.wanted
+        node.replica.core.desired_voters = self.desired_voters
 
     def crash(self, name: str) -> None:
-        """End a process without warning; what was not synced may be lost."""
+        """Kill a node's process; unsynced writes may be lost."""
         node = self.nodes[name]
         node.storage.crash()
         node.replica = None
@@ -201,54 +206,58 @@
         """Replace a stopped node's disk by an empty one."""
         node = self.nodes[name]
         self.incarnations += 1
-        self.lost[node.disk.me] = self.now_seconds
+        self.lost_at_seconds[node.disk.me] = self.now_seconds
         node.disk = Disk(Member(name, self.incarnations))
 
-    def want_voters(self, wanted: frozenset[str] | None) -> None:
-        """Let operators say who should vote."""
-        self.wanted = wanted
+    def set_desired_voters(self, desired: frozenset[str] | None) -> None:
+        """Set the voters that operators want."""
+        self.desired_voters = desired
         for name in self.living():
-            self.nodes[name].replica.core.desired_voters = wanted
+            self.nodes[name].replica.core.desired_voters = desired
 
-    def may_empty(self, name: str) -> bool:
-        """Whether a majority that has its disks would be left without this one.
+    def may_empty_disk(self, name: str) -> bool:
+        """Whether the remaining nodes with their disks would still be a majority.
 
-        More can't be survived, and it holds as well for the configurations that
-        operators' wishes lead to: taking one voter's vote right when another's
-        disk is lost is a double loss.
+        The log can't survive the loss of a majority. The same must hold for the
+        configurations that the desired voters lead to: removing one voter just when
+        another's disk is lost is a double loss.
         """
         lost = self.nodes[name].disk.me
         present = {node.disk.me for node in self.nodes.values()} - {lost}
-        joining = {lost, *self._unnoticed_losses()}
+        joining = {lost, *self._recently_lost()}
         return (
             self.has_majority(present, None)
-            and self.has_majority(present, self.wanted)
+            and self.has_majority(present, self.desired_voters)
             and self.has_majority(present, None, joining)
-            and self.has_majority(present, self.wanted, joining)
+            and self.has_majority(present, self.desired_voters, joining)
         )
 
-    def may_want(self) -> bool:
-        """Whether no disk was lost so shortly ago that a leader can't know it.
+    def may_change_voters(self) -> bool:
+        """Whether no disk was lost too recently for a leader to have noticed.
 
-        To take the vote from a living voter just then is a double loss as well.
+        Removing a live voter at such a time is a double loss as well.
         """
-        return not self._unnoticed_losses()
+        return not self._recently_lost()
 
-    def _unnoticed_losses(self) -> set[Member]:
-        """Return the identities lost so shortly ago that a leader can't know it."""
-        since = self.now_seconds - ELECTION_MAX_SECONDS
-        return {member for member, lost_at in self.lost.items() if lost_at >= since}
+    def _recently_lost(self) -> set[Member]:
+        """Return the identities lost too recently for a leader to have noticed."""
+        earliest = self.now_seconds - ELECTION_MAX_SECONDS
+        return {
+            member
+            for member, lost_at in self.lost_at_seconds.items()
+            if lost_at >= earliest
+        }
 
     def has_majority(
         self,
         present: set[Member],
-        wanted: frozenset[str] | None,
+        desired: frozenset[str] | None,
         joining: Collection[Member] = (),
     ) -> bool:
-        """Whether each configuration's voters, as wanted, have a majority present.
+        """Whether each configuration's desired voters have a majority present.
 
-        The voters that are lost may be the last to be taken out, and a learner
-        that is lost may just now be getting the vote.
+        Lost voters may be the last to be removed, and a lost learner may be in the
+        middle of its promotion to a voter.
         """
         for configuration in map(self._configuration, self.nodes.values()):
             if configuration is None:
@@ -256,7 +265,9 @@
             voters = {
                 voter
                 for voter in configuration.voters
-                if wanted is None or voter.instance_id in wanted or voter not in present
+                if desired is None
+                or voter.instance_id in desired
+                or voter not in present
             }
             voters |= set(joining) & set(configuration.learners)
             if voters and 2 * len(present & voters) <= len(voters):
@@ -264,7 +275,7 @@
         return True
 
     def _configuration(self, node: Node) -> Configuration | None:
-        """Return the newest configuration that a node has."""
+        """Return the newest configuration in a node's log."""
         if node.replica is not None:
             return node.replica.core.log.configuration
         return make_core(node.disk.load(), (), 0, 0.0).log.configuration
@@ -274,7 +285,7 @@
         return [name for name in self.names if self.nodes[name].replica]
 
     def act(self, name: str, action: Callable[[Replica], object]) -> None:
-        """Let a replica do something and carry out what follows."""
+        """Run an action on a replica and flush its effects."""
         node = self.nodes[name]
         if node.replica is None:
             return
@@ -287,20 +298,20 @@
             self.crash(name)
 
     def tick(self) -> None:
-        """Let time pass and each replica do what is due."""
+        """Advance time by one tick and run each replica's timers."""
         self.now_seconds += TICK_SECONDS
         for name in self.living():
             self.act(name, lambda replica, name=name: replica.tick(self.clock(name)))
 
-    def deliver(self, position: int, keep: bool = False) -> None:
-        """Deliver one message under way; with ``keep`` it will come again."""
+    def deliver(self, position: int, duplicate: bool = False) -> None:
+        """Deliver one message in flight; with ``duplicate`` it stays in flight."""
         if not self.in_flight:
             return
         position %= len(self.in_flight)
         sender, receiver, encoded = self.in_flight[position]
-        if (sender, receiver) in self.held:
+        if (sender, receiver) in self.paused_links:
             return
-        if not keep:
+        if not duplicate:
             self.in_flight[position] = self.in_flight[-1]
             self.in_flight.pop()
         if (sender, receiver) not in self.blocked:
@@ -309,7 +320,7 @@
             self.act(receiver, lambda replica: replica.receive(packet, now))
 
     def run(self, ticks: int, random: Random, loss: float, delay: float) -> None:
-        """Let time pass over links that lose, double, reorder and delay."""
+        """Advance time over links that lose, duplicate, reorder and delay messages."""
         for _ in range(ticks):
             self.tick()
             for _ in range(3):
@@ -323,11 +334,11 @@
                         continue
                     else:
                         position = random.randrange(400)
-                        self.deliver(position, keep=random.random() < loss / 2)
+                        self.deliver(position, duplicate=random.random() < loss / 2)
             del self.in_flight[:-400]
 
     def propose(self, name: str, command: Command) -> bool:
-        """Hand a command to a replica, which appends it if it leads."""
+        """Propose a command to a replica and return whether it appended it."""
         done = []
         self.act(name, lambda replica: done.append(replica.propose([command])))
         return bool(done and done[0])
@@ -340,8 +351,8 @@
             assert first == packet.receiver_id, "a replica voted twice in one term"
         self.in_flight.append((sender, packet.receiver_id, encode_packet(packet)))
 
-    def _applied(self, applied: AppliedProposal) -> None:
-        """Hold what a replica applied against the oracle."""
+    def _check_applied(self, applied: AppliedProposal) -> None:
+        """Compare the outcome of an applied proposal with the oracle."""
         row = (applied.command, applied.answer)
         if applied.index in self.log:
             assert self.log[applied.index] == row, "two replicas disagree"
@@ -349,19 +360,19 @@
         assert not self.log or applied.index > max(self.log), "an entry came in between"
         self.log[applied.index] = row
         proposal_id = applied.command.proposal_id
-        known = self.answers.get(proposal_id)
-        if known is not None:
+        earlier_answer = self.answers.get(proposal_id)
+        if earlier_answer is not None:
             assert not applied.first, "a proposal was accepted twice"
-            assert applied.answer == known, "a resend got another answer"
+            assert applied.answer == earlier_answer, "a resend got another answer"
             return
-        expected = self._expected(applied)
+        expected = self._expected_answer(applied)
         assert applied.answer == expected, "an answer is not the truth"
         self.answers[proposal_id] = expected
         for listener in self.listeners:
             listener(applied.command, expected)
 
-    def _expected(self, applied: AppliedProposal) -> bytes:
-        """Return what the oracle answers to a command seen first."""
+    def _expected_answer(self, applied: AppliedProposal) -> bytes:
+        """Return the oracle's answer to a command that is no resend."""
         command = applied.command
         if command.machine == "fencing":
             return self.fence.apply(applied.index, command.command)
@@ -372,7 +383,7 @@
         return b"accepted:%d" % len(self.accepted)
 
     def check(self) -> None:
-        """Check what must hold at every moment."""
+        """Check the invariants of the cluster."""
         holders = [
             name
             for name in self.living()
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -190,7 +190,7 @@
         is_calm = now_seconds - self.wiped_at_seconds > CATCH_UP_SECONDS
         if len(self.world.living()) < 5 or not is_calm:
             return
-        if self.world.blocked or not self.world.may_empty(name):
+        if self.world.blocked or not self.world.may_empty_disk(name):
             return
         self.wiped_at_seconds = now_seconds
         self.world.crash(name)
--- a/tests/test_log_fuzz.py
+++ b/tests/test_log_fuzz.py
@@ -1,4 +1,4 @@
-"""The replicated log against a plain list, with everything failing around it."""
+"""Fuzzes the replicated log against a plain list while disks, links and power fail."""
 
 from random import Random
 
@@ -28,19 +28,21 @@
         self.world = World(self.size)
         self.proposals: list[Command] = []
         self.commands = 0
-        self.keepers = [self._new_keeper(number) for number in range(2)]
-        self.asked: dict[str, tuple[LeaseManager, int, LeaseCommand]] = {}
+        self.lease_managers = [self._make_lease_manager(number) for number in range(2)]
+        self.pending_lease_commands: dict[
+            str, tuple[LeaseManager, int, LeaseCommand]
+        ] = {}
         self.orders: list[tuple[int, float]] = []
-        self.carried_out = 0
-        self.world.listeners.append(self._lease_answered)
+        self.highest_carried_out = 0
+        self.world.listeners.append(self._record_lease_answer)
         self.world.run(60, Random(self.size), 0.0, 0.0)
-        assert any(self._roles()), "a new fleet elects no leader"
+        assert any(self._leaders()), "a new fleet elects no leader"
 
-    def _new_keeper(self, number: int) -> LeaseManager:
+    def _make_lease_manager(self, number: int) -> LeaseManager:
         holder = f"k{number}-{self.commands}"
         return make_lease_manager("l", holder, ORDER_DEADLINE_SECONDS, LEASE_SECONDS)
 
-    def _roles(self) -> list[str]:
+    def _leaders(self) -> list[str]:
         nodes = self.world.nodes
         return [
             name
@@ -48,24 +50,24 @@
             if nodes[name].replica.core.role is Role.LEADER
         ]
 
-    def _name(self, number: int) -> str:
+    def _node_name(self, number: int) -> str:
         return self.world.names[number % self.size]
 
     def _send(self, command: Command, node: int) -> None:
-        leaders = self._roles()
+        leaders = self._leaders()
         if leaders:
             self.world.propose(leaders[node % len(leaders)], command)
 
-    def _keeper_clock(self, number: int) -> float:
-        # Each keeper lives beside a replica, under that replica's clock.
-        return self.world.clock(self._name(number))
+    def _lease_manager_clock(self, number: int) -> float:
+        # Each lease manager runs in a replica's process and uses that replica's clock.
+        return self.world.clock(self._node_name(number))
 
-    def _lease_answered(self, command: Command, answer: bytes) -> None:
-        asked = self.asked.pop(command.proposal_id, None)
-        if asked is not None:
-            keeper, number, lease_command = asked
-            clock = self._keeper_clock(number)
-            keeper.answered(lease_command, decode_answer(answer), clock)
+    def _record_lease_answer(self, command: Command, answer: bytes) -> None:
+        pending = self.pending_lease_commands.pop(command.proposal_id, None)
+        if pending is not None:
+            manager, number, lease_command = pending
+            clock = self._lease_manager_clock(number)
+            manager.answered(lease_command, decode_answer(answer), clock)
 
     @rule(ticks=st.integers(1, 30), seed=seeds, loss=st.sampled_from([0, 0, 0.1, 0.4]))
     def pass_time(self, ticks: int, seed: int, loss: float) -> None:
@@ -78,7 +80,7 @@
 
     @rule(node=numbers, behind=st.integers(0, 2))
     def propose(self, node: int, behind: int) -> None:
-        """An operator bases a change on a revision, the present one or an old one."""
+        """An operator bases a change on the current or an older revision."""
         self.commands += 1
         base = max(0, len(self.world.accepted) - max(0, behind - 1))
         text = f"{base}:v{self.commands}".encode()
@@ -94,38 +96,42 @@
     @precondition(lambda self: self.proposals)
     @rule(which=st.integers(0, 40), node=numbers)
     def resend(self, which: int, node: int) -> None:
-        """An answer was lost; the change comes again under its id."""
+        """An answer was lost; the change is sent again with the same id."""
         self._send(self.proposals[-1 - which % len(self.proposals)], node)
 
     @rule(number=st.integers(0, 1), node=numbers)
     def keep_lease(self, number: int, node: int) -> None:
-        keeper = self.keepers[number]
-        asked = keeper.decide(self._keeper_clock(number))
-        if asked is None:
+        manager = self.lease_managers[number]
+        lease_command = manager.decide(self._lease_manager_clock(number))
+        if lease_command is None:
             return
         self.commands += 1
         proposal_id = f"l{self.commands}"
-        self.asked[proposal_id] = (keeper, number, asked)
-        self._send(Command(proposal_id, "fencing", encode_command(asked.command)), node)
+        self.pending_lease_commands[proposal_id] = (manager, number, lease_command)
+        self._send(
+            Command(proposal_id, "fencing", encode_command(lease_command.command)), node
+        )
 
     @rule(number=st.integers(0, 1))
     def lose_lease_answer(self, number: int) -> None:
-        """The keeper hears nothing; its command may be accepted all the same."""
-        for proposal_id, (keeper, owner, asked) in list(self.asked.items()):
+        """The lease manager gets no answer; its command may still be accepted."""
+        for proposal_id, (manager, owner, lease_command) in list(
+            self.pending_lease_commands.items()
+        ):
             if owner == number:
-                del self.asked[proposal_id]
-                keeper.answered(asked, None, self._keeper_clock(number))
+                del self.pending_lease_commands[proposal_id]
+                manager.answered(lease_command, None, self._lease_manager_clock(number))
 
     @rule(number=st.integers(0, 1))
     def restart_keeper(self, number: int) -> None:
         self.commands += 1
-        self.keepers[number] = self._new_keeper(number)
+        self.lease_managers[number] = self._make_lease_manager(number)
 
     @rule(number=st.integers(0, 1))
     def order(self, number: int) -> None:
-        """A holder sends an order to an engine that ignores fencing numbers."""
-        clock = self._keeper_clock(number)
-        fencing_number = self.keepers[number].order_number(False, clock)
+        """A lease holder sends an order to an engine that ignores fencing numbers."""
+        clock = self._lease_manager_clock(number)
+        fencing_number = self.lease_managers[number].order_number(False, clock)
         if fencing_number is not None:
             until = self.world.now_seconds + ORDER_DEADLINE_SECONDS
             self.orders.append((fencing_number, until))
@@ -135,30 +141,30 @@
     def carry_out_order(self, which: int) -> None:
         number, until = self.orders.pop(which % len(self.orders))
         if self.world.now_seconds <= until:
-            assert number >= self.carried_out, "an old holder's order came late"
-            self.carried_out = number
+            assert number >= self.highest_carried_out, "an old holder's order came late"
+            self.highest_carried_out = number
 
     @rule(node=numbers, after=st.integers(0, 4), keep=st.integers(0, 3))
     def crash_at_a_sync(self, node: int, after: int, keep: int) -> None:
-        """The power fails at some write or sync to come, before or after it."""
-        storage = self.world.nodes[self._name(node)].storage
-        storage.crash_after, storage.keep = after, keep
+        """The power fails before or after a later write or sync."""
+        storage = self.world.nodes[self._node_name(node)].storage
+        storage.crash_after, storage.surviving_parts = after, keep
 
     @rule(node=numbers)
     def crash(self, node: int) -> None:
-        if self.world.nodes[self._name(node)].replica is not None:
-            self.world.crash(self._name(node))
+        if self.world.nodes[self._node_name(node)].replica is not None:
+            self.world.crash(self._node_name(node))
 
     @rule(node=numbers)
     def restart(self, node: int) -> None:
-        if self.world.nodes[self._name(node)].replica is None:
-            self.world.start(self._name(node))
+        if self.world.nodes[self._node_name(node)].replica is None:
+            self.world.start(self._node_name(node))
 
     @rule(node=numbers, seed=seeds)
     def empty_a_disk(self, node: int, seed: int) -> None:
-        """A disk is replaced; the replica comes back with nothing on it."""
-        name = self._name(node)
-        if self.world.may_empty(name):
+        """A disk is replaced by an empty one and the replica restarts."""
+        name = self._node_name(node)
+        if self.world.may_empty_disk(name):
             if self.world.nodes[name].replica is not None:
                 self.world.crash(name)
             self.world.empty_disk(name)
@@ -174,21 +180,21 @@
                 self.world.start(name)
         for _ in range(20):
             self.world.run(5, Random(seed), 0.0, 0.0)
-            if self._name(node) != self._name(other) and self.world.may_empty(
-                self._name(other)
-            ):
+            if self._node_name(node) != self._node_name(
+                other
+            ) and self.world.may_empty_disk(self._node_name(other)):
                 break
-        if self._name(node) != self._name(other):
+        if self._node_name(node) != self._node_name(other):
             self.empty_a_disk(other, seed)
 
     @rule(sender=numbers, receiver=numbers)
     def cut_one_way(self, sender: int, receiver: int) -> None:
-        self.world.blocked.add((self._name(sender), self._name(receiver)))
+        self.world.blocked.add((self._node_name(sender), self._node_name(receiver)))
 
     @rule(inbound=st.booleans(), outbound=st.booleans(), ticks=st.integers(0, 60))
     def isolate_leader(self, inbound: bool, outbound: bool, ticks: int) -> None:
-        """A leader is cut off silently, for long perhaps, and may not notice."""
-        for leader in self._roles():
+        """A partition isolates a leader, possibly long and one-way only."""
+        for leader in self._leaders():
             for name in self.world.names:
                 if inbound:
                     self.world.blocked.add((name, leader))
@@ -198,33 +204,33 @@
 
     @rule(voter=numbers, after=st.integers(0, 3), slow=numbers, seed=seeds)
     def tie_an_election(self, voter: int, after: int, slow: int, seed: int) -> None:
-        """All but one stand at the same moment, and the power of that one fails while
-        it votes. It is back at once, and a candidate that the others don't reach asks
-        it late."""
-        world, name = self.world, self._name(voter)
-        link = (self._name(slow), name)
+        """All but one replica start an election at the same time. The remaining one
+        loses power while it votes and restarts at once; then a delayed vote request of
+        another candidate arrives."""
+        world, name = self.world, self._node_name(voter)
+        link = (self._node_name(slow), name)
         world.in_flight.clear()
         world.now_seconds += 2 * ELECTION_MAX_SECONDS
         for other in world.living():
-            late = ELECTION_MAX_SECONDS if other == name else 0.0
+            delay = ELECTION_MAX_SECONDS if other == name else 0.0
             core = world.nodes[other].replica.core
-            core.election_due_at_seconds = world.clock(other) + late
+            core.election_due_at_seconds = world.clock(other) + delay
         self.crash_at_a_sync(voter, after, 0)
-        world.held.add(link)
+        world.paused_links.add(link)
         others = [other for other in world.names if other != name]
         world.blocked |= {(one, two) for one in others for two in others}
         world.run(2, Random(seed), 0.0, 0.0)
         self.restart(voter)
         world.now_seconds += ELECTION_MIN_SECONDS
-        world.held.discard(link)
+        world.paused_links.discard(link)
         world.run(2, Random(seed), 0.0, 0.0)
 
     @rule(ticks=st.integers(0, 6), keep=st.integers(0, 2), seed=seeds)
     def lose_all_power(self, ticks: int, keep: int, seed: int) -> None:
-        """All replicas lose power, with messages still under way, and are back soon."""
+        """All replicas lose power with messages in flight and restart soon."""
         world = self.world
         for name in world.living():
-            world.nodes[name].storage.keep = keep
+            world.nodes[name].storage.surviving_parts = keep
             world.crash(name)
         world.now_seconds += ticks * TICK_SECONDS
         for name in world.names:
@@ -233,15 +239,15 @@
 
     @rule(node=numbers)
     def hand_over(self, node: int) -> None:
-        name = self._name(node)
+        name = self._node_name(node)
         clock = self.world.clock(name)
         self.world.act(name, lambda replica: replica.transfer_leadership(clock))
 
     @rule(wanted=st.sets(numbers, min_size=1))
     def want_voters(self, wanted: set[int]) -> None:
-        names = frozenset(self._name(number) for number in wanted)
-        if self.world.may_want():
-            self.world.want_voters(names)
+        names = frozenset(self._node_name(number) for number in wanted)
+        if self.world.may_change_voters():
+            self.world.set_desired_voters(names)
 
     @rule()
     def heal(self) -> None:
@@ -254,13 +260,13 @@
     @invariant()
     def at_most_one_holds_the_lease(self) -> None:
         held = [
-            keeper.lease(self._keeper_clock(number))
-            for number, keeper in enumerate(self.keepers)
+            manager.lease(self._lease_manager_clock(number))
+            for number, manager in enumerate(self.lease_managers)
         ]
         assert sum(lease is not None for lease in held) <= 1
 
     def teardown(self) -> None:
-        """Once all is mended, everything accepted is there and changes go on."""
+        """After repair all accepted changes are present and new ones are accepted."""
         world = self.world
         world.blocked.clear()
         for name in world.names:
@@ -268,12 +274,12 @@
             node.storage.crash_after = None
             if node.replica is None:
                 world.start(name)
-        world.want_voters(None)
+        world.set_desired_voters(None)
         for _ in range(12):
             world.run(30, Random(1), 0.0, 0.0)
-            if self._is_whole():
+            if self._is_recovered():
                 break
-        assert self._is_whole(), "the replicas do not recover"
+        assert self._is_recovered(), "the replicas do not recover"
         self.propose(0, 0)
         world.run(30, Random(2), 0.0, 0.0)
         assert self.proposals[-1].proposal_id in world.answers, "no change is accepted"
@@ -287,14 +293,14 @@
             assert node.revisions.values == world.accepted, "something accepted is lost"
 
     def _all_have_applied(self) -> bool:
-        """Whether every replica has applied all that stands in the leader's log."""
+        """Whether every replica has applied the longest log."""
         replicas = [node.replica for node in self.world.nodes.values()]
         last_index = max(replica.core.log.last_index for replica in replicas)
         return all(replica.applier.applied_index == last_index for replica in replicas)
 
-    def _is_whole(self) -> bool:
-        """Whether one leader has every present disk among its voters."""
-        leaders = self._roles()
+    def _is_recovered(self) -> bool:
+        """Whether there is one leader whose voters are exactly the present disks."""
+        leaders = self._leaders()
         present = {node.disk.me for node in self.world.nodes.values()}
         return len(leaders) == 1 and present == set(
             self.world.nodes[leaders[0]].replica.core.voters
@@ -302,7 +308,7 @@
 
 
 class FiveReplicas(ThreeReplicas):
-    """The same over five."""
+    """The same with five replicas."""
 
     size = 5
 
