--- a/sesameford/log_service.py
+++ b/sesameford/log_service.py
@@ -14,7 +14,7 @@
     ProposalRefusedError,
     StorageError,
 )
-from sesameford.log_apply import Applied
+from sesameford.log_apply import AppliedProposal
 from sesameford.log_flusher import Flusher
 from sesameford.log_messages import Command, Packet, decode_packet, encode_packet
 from sesameford.log_proposer import PendingProposal, Proposer
@@ -123,7 +123,7 @@
             self._seed,
             self._now(),
         )
-        self._replica.core.wanted_voters = self._wanted_voters
+        self._replica.core.desired_voters = self._wanted_voters
         self._replica.core.may_found = self._may_found
         self._flusher = Flusher(
             self._replica, self._now, self._fail, self._sync_in_thread
@@ -136,7 +136,7 @@
             await wait([self._reopening])
         if self._replica is not None and self._flusher is not None:
             await self._flusher.stop()
-            if self._failure is None and self._replica.hand_over(self._now()):
+            if self._failure is None and self._replica.transfer_leadership(self._now()):
                 self._flusher.flush_here()
             self._replica.storage.close()
         self._proposer.fail_all(NoQuorumError("this instance stops"))
@@ -207,7 +207,7 @@
         """Let voters follow the settings tree, one change at a time; None: all."""
         self._wanted_voters = instance_ids
         if self._replica is not None:
-            self._replica.core.wanted_voters = instance_ids
+            self._replica.core.desired_voters = instance_ids
 
     def set_replicas(self, replica_ids: tuple[str, ...], may_found: bool) -> None:
         """Take who the instances with disks are, where they are found as they come.
@@ -348,7 +348,7 @@
         replica = self._living_replica()
         if replica is None or self._stopped:
             return False
-        known = replica.applier.known(command)
+        known = replica.applier.find_applied(command)
         if known is not None:
             self._answer(origin, known)
             return True
@@ -364,7 +364,7 @@
         waiting.origins.add(origin)
         return True
 
-    def _applied(self, applied: Applied) -> None:
+    def _applied(self, applied: AppliedProposal) -> None:
         """Answer those who wait for a committed proposal."""
         command = applied.command
         waiting = self._waiting.pop(command.proposal_id, None)
@@ -373,7 +373,7 @@
         if self._proposer.find(command.proposal_id) is not None:
             self._answer(self._instance_id, applied)
 
-    def _answer(self, origin: str, applied: Applied) -> None:
+    def _answer(self, origin: str, applied: AppliedProposal) -> None:
         """Tell one proposer what became of its proposal."""
         proposal_id = applied.command.proposal_id
         if origin != self._instance_id:
