--- a/sesameford/operators_http.py
+++ b/sesameford/operators_http.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 from msgspec import DecodeError, ValidationError, json
 
-from sesameford.yaml_text import Result, Sliced
+from sesameford.yaml_text import Result, SlicedWork
 
 BODY_TIMEOUT_SECONDS = 30.0
 
@@ -97,7 +97,7 @@
         raise Problem(400, "bad-body", str(error)) from error
 
 
-async def in_slices(work: Sliced[Result]) -> Result:
+async def in_slices(work: SlicedWork[Result]) -> Result:
     """Do sliced work, letting the loop do other work in between."""
     while True:
         try:
--- a/sesameford/tree.py
+++ b/sesameford/tree.py
@@ -35,7 +35,7 @@
     field_defaults,
     shown,
 )
-from sesameford.yaml_text import Sliced, finish, load_yaml_in_slices
+from sesameford.yaml_text import SlicedWork, load_yaml_in_slices, run_to_completion
 
 MAX_TEXT_BYTES = 32_000_000
 MAX_NODES = 200_000
@@ -187,10 +187,10 @@
         TreeError: It names the path of the field, what was found and what is
             allowed; nothing of the text is used.
     """
-    return finish(parse_tree_in_slices(text, source))
+    return run_to_completion(parse_tree_in_slices(text, source))
 
 
-def parse_tree_in_slices(text: str, source: str) -> Sliced[DeclaredTree]:
+def parse_tree_in_slices(text: str, source: str) -> SlicedWork[DeclaredTree]:
     """Do what ``parse_tree`` does, stopping after every few milliseconds of work.
 
     At 22,000 customers it takes most of a second in all. Done in one go it would
@@ -207,7 +207,7 @@
     return (yield from check_tree_in_slices(raw, source))
 
 
-def check_tree_in_slices(raw: Any, source: str) -> Sliced[DeclaredTree]:
+def check_tree_in_slices(raw: Any, source: str) -> SlicedWork[DeclaredTree]:
     """Check a declared tree that was read from another format than YAML.
 
     Args:
@@ -228,7 +228,7 @@
         ) from refused
 
 
-def _check_in_slices(raw: Any) -> Sliced[DeclaredTree]:
+def _check_in_slices(raw: Any) -> SlicedWork[DeclaredTree]:
     """Check plain values as a tree."""
     if raw is None:
         raw = {}
--- a/sesameford/tree_text.py
+++ b/sesameford/tree_text.py
@@ -6,7 +6,7 @@
 from msgspec import json
 
 from sesameford.tree import DeclaredTree, TreeDifference, read_node
-from sesameford.yaml_text import Sliced, finish
+from sesameford.yaml_text import SlicedWork, run_to_completion
 
 SLICE_LINES = 2000
 
@@ -23,10 +23,10 @@
     Returns:
         YAML with sorted names; comments of the operators' file are not in it.
     """
-    return finish(render_tree_in_slices(declared))
+    return run_to_completion(render_tree_in_slices(declared))
 
 
-def render_tree_in_slices(declared: DeclaredTree) -> Sliced[str]:
+def render_tree_in_slices(declared: DeclaredTree) -> SlicedWork[str]:
     """Do what ``render_tree`` does, stopping after every few milliseconds of work.
 
     The tree must not change meanwhile.
--- a/sesameford/yaml_text.py
+++ b/sesameford/yaml_text.py
@@ -27,7 +27,7 @@
 SLICE_EVENTS = 1000
 
 Result = TypeVar("Result")
-Sliced = Generator[None, None, Result]
+SlicedWork = Generator[None, None, Result]
 
 _loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
 _INTEGER = re.compile(r"[-+]?(0|[1-9][0-9_]{0,400})")
@@ -46,7 +46,7 @@
 }
 
 
-def finish(work: Sliced[Result]) -> Result:
+def run_to_completion(work: SlicedWork[Result]) -> Result:
     """Run work that could be done in slices in one go and return its result."""
     while True:
         try:
@@ -69,10 +69,10 @@
         yaml.YAMLError: It is no YAML, nests too deep, has a duplicate key, an
             alias or a tag.
     """
-    return finish(load_yaml_in_slices(text))
+    return run_to_completion(load_yaml_in_slices(text))
 
 
-def load_yaml_in_slices(text: str) -> Sliced[Any]:
+def load_yaml_in_slices(text: str) -> SlicedWork[Any]:
     """Do what ``load_yaml`` does, stopping after every few milliseconds of work."""
     try:
         parser = _loader(text)
