--- a/benchmarks/tree_bench.py
+++ b/benchmarks/tree_bench.py
@@ -60,7 +60,7 @@
 def slices_of(spread: TreeReplication) -> Iterable[None]:
     """Bring settings into force, a slice at a time."""
     while not spread.in_force.is_current:
-        spread.in_force.work()
+        spread.in_force.recompute_slice()
         yield
 
 
@@ -76,7 +76,7 @@
         self.number = 0
 
     def _committed(self, machine: TreeMachine) -> None:
-        outgoing = self.spread.committed(machine.store, True, {"e2": PEER})
+        outgoing = self.spread.handle_commit(machine.store, True, {"e2": PEER})
         self.sent = [one.message for one in outgoing]
 
     def note(self, name: str, value: float) -> None:
@@ -136,7 +136,7 @@
             self.machine.apply(self.number, command)
             applied = perf_counter()
             while not self.spread.in_force.is_current:
-                self.spread.in_force.work()
+                self.spread.in_force.recompute_slice()
             took["entry"].append(compared - begin)
             took["replica"].append(applied - compared)
             took["in_force"].append(perf_counter() - applied)
@@ -156,11 +156,13 @@
 
     def _other_costs(self, tree: DeclaredTree) -> None:
         """Measure a whole tree sent and taken, its text, a snapshot, memory."""
-        answer = self.spread.received("e2", TreeRequest(0, whole=True), {}, 0.0)
+        answer = self.spread.handle_message("e2", TreeRequest(0, whole=True), {}, 0.0)
         message = answer[0].message
         self.note("whole_message_bytes", envelope_bytes([message]))
         other = TreeReplication("e2", "a", 1, 0.0)
-        self.timed("whole_taken_ms", lambda: other.received("e1", message, {}, 0.0))
+        self.timed(
+            "whole_taken_ms", lambda: other.handle_message("e1", message, {}, 0.0)
+        )
         self.timed("render_ms", lambda: render_tree(tree))
         self.timed("snapshot_ms", self.machine.snapshot)
         self.note("memory_router_mb", traced_mb(self.customers, replica=False))
@@ -191,7 +193,7 @@
     spread = TreeReplication("e1", "a", 1, 0.0)
 
     def committed(machine: TreeMachine) -> None:
-        spread.committed(machine.store, True, {})
+        spread.handle_commit(machine.store, True, {})
 
     machine = TreeMachine(committed)
     store = spread.store
@@ -206,7 +208,7 @@
     )
     machine.apply(1, encode_change(change))
     while not spread.in_force.is_current:
-        spread.in_force.work()
+        spread.in_force.recompute_slice()
     if not replica:
         del machine
     del tree, change, store
--- a/sesameford/gateway/gateway_node.py
+++ b/sesameford/gateway/gateway_node.py
@@ -322,7 +322,7 @@
 
     def _new_machines(self) -> tuple[StateMachine, ...]:
         """Return the log's state machines in their initial state."""
-        self._machine = TreeMachine(self._tree.committed)
+        self._machine = TreeMachine(self._tree.handle_commit)
         return (self._machine, ClaimsMachine(), FencingMachine())
 
     # --- periodic tasks -------------------------------------------------------
@@ -443,7 +443,7 @@
             case FleetLoad():
                 self.load.heard(sender_id, message, now_seconds)
             case TreeSteps() | TreeSnapshot() | TreeRequest():
-                self._tree.received(sender_id, message)
+                self._tree.handle_message(sender_id, message)
             case LogPayload() | ProposalRequest() | ProposalReply():
                 self._log.received(sender_id, incarnation, message, now_seconds)
             case _:
--- a/sesameford/inbox.py
+++ b/sesameford/inbox.py
@@ -70,7 +70,7 @@
             case Heartbeat():
                 deps.members.heard(sender_id, incarnation, message, now_seconds)
             case TreeSteps() | TreeSnapshot() | TreeRequest():
-                deps.tree.received(sender_id, message)
+                deps.tree.handle_message(sender_id, message)
             case LogPayload() | ProposalRequest() | ProposalReply():
                 deps.log.received(sender_id, incarnation, message, now_seconds)
             case SuspectUpdate():
--- a/sesameford/instance.py
+++ b/sesameford/instance.py
@@ -202,7 +202,7 @@
 
     def _new_machines(self) -> tuple[StateMachine, ...]:
         """Return the log's state machines in their first state."""
-        self._machine = TreeMachine(self.tree.committed)
+        self._machine = TreeMachine(self.tree.handle_commit)
         return (self._machine, ClaimsMachine(), FencingMachine())
 
     async def start(self) -> None:
@@ -383,7 +383,7 @@
             platform_key_digest=self._settings.platform_key_digest,
             store=lambda: self.tree.store,
             propose=self._log.propose,
-            caught_up=self.tree.caught_up,
+            caught_up=self.tree.wait_for_revision,
             local_history=self._local_history,
             status=self._status,
             announce=self._announce,
--- a/sesameford/tree_holder.py
+++ b/sesameford/tree_holder.py
@@ -53,31 +53,35 @@
         """Return the revision that is in force here."""
         return self._spread.in_force.tree.revision
 
-    def committed(self, machine: TreeMachine) -> None:
+    def handle_commit(self, machine: TreeMachine) -> None:
         """Take over what the replicated log has accepted here."""
         deps = self._deps
-        self._send(self._spread.committed(machine.store, deps.is_leader(), deps.live()))
+        self._send(
+            self._spread.handle_commit(machine.store, deps.is_leader(), deps.live())
+        )
         self._work_soon()
 
-    def received(self, sender_id: str, message: Message) -> None:
+    def handle_message(self, sender_id: str, message: Message) -> None:
         """Take a message about the tree from another instance.
 
         Raises:
             PeerError: It is malformed; nothing of it was used.
         """
         deps = self._deps
-        self._send(self._spread.received(sender_id, message, deps.live(), deps.now()))
+        self._send(
+            self._spread.handle_message(sender_id, message, deps.live(), deps.now())
+        )
         self._work_soon()
 
     def tick(self) -> None:
         """Ask for what is missing here; call it some ten times a second."""
-        self._send(self._spread.due(self._deps.live(), self._deps.now()))
+        self._send(self._spread.collect_requests(self._deps.live(), self._deps.now()))
 
     def is_ready(self) -> bool:
         """Return whether this instance may serve under the tree it has."""
         return self._spread.is_ready(self._deps.live(), self._deps.now())
 
-    async def caught_up(self, revision: int, limit_seconds: float) -> bool:
+    async def wait_for_revision(self, revision: int, limit_seconds: float) -> bool:
         """Wait until at least a revision is in force here."""
         try:
             async with asyncio.timeout(limit_seconds):
@@ -105,7 +109,7 @@
         """Bring the effective tree up to date by a slice."""
         self._work_is_due = False
         in_force = self._spread.in_force
-        if in_force.work():
+        if in_force.recompute_slice():
             self._deps.in_force(in_force.tree)
             logger.info(
                 "tree in force",
--- a/sesameford/tree_in_force.py
+++ b/sesameford/tree_in_force.py
@@ -37,7 +37,7 @@
         """Return whether the effective tree is that of the store's revision."""
         return self.tree.revision == self._store.revision
 
-    def changed(self, difference: TreeDifference) -> None:
+    def record_step(self, difference: TreeDifference) -> None:
         """Note what a step changed; to be called after the step.
 
         Args:
@@ -52,7 +52,7 @@
         if branches:
             self._due.update(dict.fromkeys(_below(nodes, branches)))
 
-    def replaced(self) -> None:
+    def record_replacement(self) -> None:
         """Note that the store took a whole tree.
 
         What was worked off of a change before it is dropped: an entity that only
@@ -65,7 +65,7 @@
         self._due.update(dict.fromkeys(self._store.declared.nodes))
         self._due["fleet"] = None
 
-    def work(self, limit: int = SLICE_ENTITIES) -> bool:
+    def recompute_slice(self, limit: int = SLICE_ENTITIES) -> bool:
         """Recompute some of what is due.
 
         Args:
--- a/sesameford/tree_replication.py
+++ b/sesameford/tree_replication.py
@@ -65,7 +65,7 @@
         self._needs_whole = False
         self._whole_sent_at_seconds: dict[str, float] = {}
 
-    def committed(
+    def handle_commit(
         self, source: TreeStore, is_leader: bool, peers: Mapping[str, InstanceRow]
     ) -> Sequence[Outgoing]:
         """Take over what the replicated log has accepted here.
@@ -86,7 +86,7 @@
             return ()
         return self._push(steps, self._receivers(peers))
 
-    def received(
+    def handle_message(
         self,
         sender_id: str,
         message: Message,
@@ -116,7 +116,7 @@
                 return self._answer(sender_id, message, now_seconds)
         return ()
 
-    def due(
+    def collect_requests(
         self, peers: Mapping[str, InstanceRow], now_seconds: float
     ) -> Sequence[Outgoing]:
         """Return the question that is due where others have a newer tree.
@@ -173,7 +173,7 @@
                 continue
             if not self.store.step(step):
                 return False
-            self.in_force.changed(step.difference)
+            self.in_force.record_step(step.difference)
         return True
 
     def _take_whole(
@@ -181,7 +181,7 @@
     ) -> None:
         """Take a whole tree; the caller has seen that it is newer."""
         self.store.replace(revision, nodes, digest)
-        self.in_force.replaced()
+        self.in_force.record_replacement()
         self._needs_whole = False
 
     def _received_steps(
--- a/tests/test_instance.py
+++ b/tests/test_instance.py
@@ -88,7 +88,7 @@
         status, answer = await apply_tree(session, settings[3], "c1", 0, TREE)
         assert (status, answer["revision"]) == (200, 1)
         for instance in instances:
-            assert await instance.tree.caught_up(1, 20)
+            assert await instance.tree.wait_for_revision(1, 20)
             assert instance.router.tree.customers["club"].share == 2
 
 
@@ -97,13 +97,13 @@
 
     Without the push a change would wait for a heartbeat and a question instead.
     """
-    monkeypatch.setattr(TreeReplication, "due", lambda *_: ())
+    monkeypatch.setattr(TreeReplication, "collect_requests", lambda *_: ())
     settings = make_settings(tmp_path, 4, 3)
     async with running(settings) as instances, ClientSession() as session:
         for instance in instances:
             await until(lambda one=instance: len(one.members.all(monotonic())) == 3)
         assert (await apply_tree(session, settings[0], "c1", 0, TREE))[0] == 200
-        assert await instances[3].tree.caught_up(1, 5)
+        assert await instances[3].tree.wait_for_revision(1, 5)
 
 
 async def test_a_replica_gives_up_its_vote_by_the_tree(tmp_path):
@@ -153,14 +153,14 @@
     settings = make_settings(tmp_path, 2, 1)
     async with running(settings[:1]) as (first,), ClientSession() as session:
         assert (await apply_tree(session, settings[0], "c1", 0, TREE))[0] == 200
-        assert await first.tree.caught_up(1, 20)
+        assert await first.tree.wait_for_revision(1, 20)
         async with running(settings[1:]) as (second,):
             async with session.get(
                 f"http://{settings[1].listen.callers}/readyz"
             ) as ready:
                 had_tree = second.tree.store.revision == 1
                 assert ready.status == (200 if had_tree else 503)
-            assert await second.tree.caught_up(1, 20)
+            assert await second.tree.wait_for_revision(1, 20)
 
 
 async def test_a_change_survives_a_restart_of_its_only_replica(tmp_path):
@@ -168,7 +168,7 @@
     async with running(settings), ClientSession() as session:
         assert (await apply_tree(session, settings[0], "c1", 0, TREE))[0] == 200
     async with running(settings) as (again,):
-        assert await again.tree.caught_up(1, 20)
+        assert await again.tree.wait_for_revision(1, 20)
 
 
 def test_peers_without_any_identity_are_refused(tmp_path):
--- a/tests/test_tree_fuzz.py
+++ b/tests/test_tree_fuzz.py
@@ -96,7 +96,9 @@
 
     def _committed(self, one, machine):
         is_leader = one == self.leader
-        sent = self.spreads[one].committed(machine.store, is_leader, self.heard[one])
+        sent = self.spreads[one].handle_commit(
+            machine.store, is_leader, self.heard[one]
+        )
         self._put(one, sent)
 
     def _put(self, sender, outgoing):
@@ -201,7 +203,7 @@
     @rule(one=ids, seconds=st.sampled_from([0.05, ASK_AGAIN_SECONDS]))
     def tick(self, one, seconds):
         self.now += seconds
-        self._put(one, self.spreads[one].due(self.heard[one], self.now))
+        self._put(one, self.spreads[one].collect_requests(self.heard[one], self.now))
 
     @precondition(lambda self: self.bag)
     @rule(
@@ -215,7 +217,7 @@
 
     def _deliver(self, sender, receiver, message):
         spread = self.spreads[receiver]
-        answer = spread.received(sender, message, self.heard[receiver], self.now)
+        answer = spread.handle_message(sender, message, self.heard[receiver], self.now)
         self._put(receiver, answer)
 
     @rule(sender=ids, receiver=ids, whole=st.booleans(), revision=st.integers(0, 5))
@@ -224,7 +226,7 @@
 
     @rule(one=ids, limit=st.sampled_from([1, 2, 100, 100]))
     def work(self, one, limit):
-        self.spreads[one].in_force.work(limit)
+        self.spreads[one].in_force.recompute_slice(limit)
 
     @rule(one=ids)
     def readiness(self, one):
@@ -245,7 +247,7 @@
             self._deliver(*self.bag.pop())
         for spread in self.spreads.values():
             while not spread.in_force.is_current:
-                spread.in_force.work()
+                spread.in_force.recompute_slice()
 
     # --- what must hold -------------------------------------------------------
 
--- a/tests/test_tree_spread.py
+++ b/tests/test_tree_spread.py
@@ -45,7 +45,7 @@
     changed = difference(spread.store.declared, parse_tree(text, "t"))
     digest = spread.store.would_be(changed)
     assert spread.store.step(TreeStep(spread.store.revision + 1, changed, digest))
-    spread.in_force.changed(changed)
+    spread.in_force.record_step(changed)
 
 
 def test_a_whole_tree_from_the_past_changes_nothing():
@@ -57,7 +57,7 @@
     commit_steps(spread, 3)
     before = spread.store.copy()
     for revision in (2, 3):
-        spread.received("e2", TreeSnapshot(revision, NODES, DIGEST), {}, 0.0)
+        spread.handle_message("e2", TreeSnapshot(revision, NODES, DIGEST), {}, 0.0)
         assert spread.store.revision == 3
         assert spread.store.declared == before
 
@@ -69,13 +69,15 @@
     """
     spread = make_spread()
     with pytest.raises(PeerError):
-        spread.received("e2", TreeSnapshot(1, NODES, bytes(16)), {}, 0.0)
+        spread.handle_message("e2", TreeSnapshot(1, NODES, bytes(16)), {}, 0.0)
     with pytest.raises(PeerError):
-        spread.received("e2", TreeSnapshot(1, {"customers": b"?"}, DIGEST), {}, 0.0)
+        spread.handle_message(
+            "e2", TreeSnapshot(1, {"customers": b"?"}, DIGEST), {}, 0.0
+        )
     wrong = TreeSteps((TreeStepRow(1, NODES, (), bytes(16)),))
-    spread.received("e2", wrong, {}, 0.0)
+    spread.handle_message("e2", wrong, {}, 0.0)
     assert spread.store.revision == 0
-    asked = spread.due({"e2": peer("e2", revision=1)}, 1.0)
+    asked = spread.collect_requests({"e2": peer("e2", revision=1)}, 1.0)
     assert asked[0].message == TreeRequest(0, whole=True)
 
 
@@ -87,7 +89,7 @@
     """
     spread = make_spread()
     commit_steps(spread, KEPT_STEPS + 5)
-    near = spread.received("e2", TreeRequest(KEPT_STEPS), {}, 0.0)
+    near = spread.handle_message("e2", TreeRequest(KEPT_STEPS), {}, 0.0)
     assert [row.revision for row in near[0].message.steps] == [
         1001,
         1002,
@@ -95,7 +97,9 @@
         1004,
         1005,
     ]
-    far = [spread.received("e3", TreeRequest(2), {}, now) for now in (0.0, 0.5, 1.0)]
+    far = [
+        spread.handle_message("e3", TreeRequest(2), {}, now) for now in (0.0, 0.5, 1.0)
+    ]
     assert [len(sent) for sent in far] == [1, 0, 1]
     assert far[0][0].message.revision == KEPT_STEPS + 5
 
@@ -107,14 +111,14 @@
     """
     spread = make_spread(peers=2)
     lagging = {"e2": peer("e2", revision=1)}
-    spread.received("e2", TreeSnapshot(1, NODES, DIGEST), lagging, 0.1)
-    spread.in_force.work()
+    spread.handle_message("e2", TreeSnapshot(1, NODES, DIGEST), lagging, 0.1)
+    spread.in_force.recompute_slice()
     assert not spread.is_ready(lagging, 0.1)
     both = {**lagging, "e3": peer("e3", revision=2)}
     assert not spread.is_ready(both, 0.2)
-    spread.received("e3", TreeSnapshot(2, NODES, DIGEST), both, 0.3)
+    spread.handle_message("e3", TreeSnapshot(2, NODES, DIGEST), both, 0.3)
     assert not spread.is_ready(both, 0.3)
-    spread.in_force.work()
+    spread.in_force.recompute_slice()
     assert spread.is_ready(both, 0.3)
 
 
@@ -124,8 +128,8 @@
     It serves what it can, under the tree on its disk; one without any stays out.
     """
     empty, replica = make_spread(), make_spread("e2")
-    replica.received("e3", TreeSnapshot(4, NODES, DIGEST), {}, 0.0)
-    replica.in_force.work()
+    replica.handle_message("e3", TreeSnapshot(4, NODES, DIGEST), {}, 0.0)
+    replica.in_force.recompute_slice()
     assert not replica.is_ready({}, LISTEN_SECONDS / 2)
     assert replica.is_ready({}, LISTEN_SECONDS)
     assert not empty.is_ready({}, LISTEN_SECONDS)
@@ -138,14 +142,14 @@
     }
     leader, other = make_spread(fanout=2), make_spread(fanout=2)
     commit_steps(other, 1)
-    sent = leader.committed(other.store, True, peers)
+    sent = leader.handle_commit(other.store, True, peers)
     assert [one.receiver_id for one in sent] == ["e2", "e3", "e5"]
     passing = make_spread("e3", "b", fanout=2)
     seen = {**peers, "e1": peer("e1", "a")}
     del seen["e3"]
-    on = passing.received("e1", sent[1].message, seen, 0.0)
+    on = passing.handle_message("e1", sent[1].message, seen, 0.0)
     assert [one.receiver_id for one in on] == ["e4"]
-    assert passing.received("e1", sent[1].message, seen, 0.0) == ()
+    assert passing.handle_message("e1", sent[1].message, seen, 0.0) == ()
 
 
 def test_a_key_that_moves_to_another_customer_stays_known():
@@ -159,7 +163,7 @@
     second = "customers: {children: {b: {key_digests: [%s]}, a: {}}}"
     for text in (first, second):
         declare(spread, text % ("a1" * 32))
-        assert spread.in_force.work()
+        assert spread.in_force.recompute_slice()
     assert spread.in_force.tree.customer_ids_by_digest == {"a1" * 32: "b"}
 
 
@@ -174,11 +178,11 @@
     at_a = "customers: {children: {a: {key_digests: [%s]}, b: {}}}" % ("a1" * 32)
     at_b = "customers: {children: {b: {key_digests: [%s]}, a: {}}}" % ("a1" * 32)
     declare(spread, at_a)
-    assert spread.in_force.work()
+    assert spread.in_force.recompute_slice()
     declare(spread, at_b)
-    assert not spread.in_force.work(limit=1)
+    assert not spread.in_force.recompute_slice(limit=1)
     declare(spread, at_a)
-    assert spread.in_force.work()
+    assert spread.in_force.recompute_slice()
     assert spread.in_force.tree.customer_ids_by_digest == {"a1" * 32: "a"}
 
 
@@ -190,11 +194,11 @@
     """
     spread = make_spread()
     declare(spread, "customers: {children: {a: {}}}")
-    assert spread.in_force.work()
+    assert spread.in_force.recompute_slice()
     passing = "customers: {children: {a: {}, b: {key_digests: [%s]}, c: {}}}"
     declare(spread, passing % ("a1" * 32))
-    assert not spread.in_force.work(limit=1)
-    spread.received("e2", TreeSnapshot(9, NODES, DIGEST), {}, 0.0)
-    assert spread.in_force.work()
+    assert not spread.in_force.recompute_slice(limit=1)
+    spread.handle_message("e2", TreeSnapshot(9, NODES, DIGEST), {}, 0.0)
+    assert spread.in_force.recompute_slice()
     assert set(spread.in_force.tree.customers) == {"a"}
     assert spread.in_force.tree.customer_ids_by_digest == {}
