--- a/sesameford/tree.py
+++ b/sesameford/tree.py
@@ -1,9 +1,9 @@
-"""The declared tree of settings: parsing, inheritance, differences.
+"""Parse, compare and digest declared settings trees, and resolve inheritance.
 
-A tree is held as one entry per node: the path, such as ``customers/clubs/anand``,
-and what the node itself says, in one canonical coding. Equal nodes are equal
-bytes, so comparing two trees, sending a difference and keeping 22,000 customers in
-memory are all cheap, and a node's text is never parsed twice.
+A tree is stored as one entry per node: its path, such as ``customers/clubs/anand``,
+and the node's own settings in a canonical MessagePack encoding. Equal nodes have
+equal bytes, so trees are cheap to compare, differences are cheap to send, 22,000
+customers fit in little memory, and the YAML of a node is parsed only once.
 """
 
 import re
@@ -30,10 +30,10 @@
     LEAF_FIELDS,
     NAME_FIELDS,
     ROOTS,
-    Refused,
+    FieldError,
     check_fields,
+    describe_value,
     field_defaults,
-    shown,
 )
 from sesameford.yaml_text import SlicedWork, load_yaml_in_slices, run_to_completion
 
@@ -41,17 +41,20 @@
 MAX_NODES = 200_000
 MAX_DEPTH = 8
 DATA_CENTRES = "data_centres"
-SLICE_NODES = 400
+NODES_PER_SLICE = 400
 
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,63}")
 _NAME_ALLOWED = "a name of 1 to 64 letters, digits, '.', '_', ':' and '-'"
 _DIGEST_MODULUS = 1 << 128
-# Fields that hold lists of rows, and the data class of one row.
+# Fields that hold lists of rows, with the data class of a row.
 _ROW_KINDS: Mapping[str, type] = {"routes": RouteSettings, "backends": BackendSettings}
 
 
 class TreeNode(Struct, frozen=True, array_like=True):
-    """What one node says itself; a leaf is an entity, a branch has children."""
+    """The settings that one node sets itself.
+
+    A leaf is an entity; a branch has children that inherit its settings.
+    """
 
     is_leaf: bool
     settings: dict[str, Any]
@@ -63,36 +66,36 @@
 
 @dataclass(frozen=True, slots=True)
 class DeclaredTree:
-    """A checked tree as operators declared it: canonical nodes by their path."""
+    """A validated tree as operators declared it: encoded nodes by path."""
 
     nodes: Mapping[str, bytes] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class TreeDifference:
-    """What turns one declared tree into another."""
+    """The nodes to put and to remove to turn one declared tree into another."""
 
     put: Mapping[str, bytes]
     removed: tuple[str, ...]
 
     def is_empty(self) -> bool:
-        """Return whether both trees are the same."""
+        """Return whether the two trees are equal."""
         return not self.put and not self.removed
 
 
 def read_node(encoded: bytes) -> TreeNode:
-    """Return a node from its canonical coding."""
+    """Decode a node from its canonical encoding."""
     return _decoder.decode(encoded)
 
 
-def data_centre_nodes(
+def evacuation_nodes(
     nodes: Mapping[str, bytes], data_centre: str, evacuated: bool
 ) -> dict[str, bytes]:
-    """Return the nodes by which a data centre is evacuated, or no longer.
+    """Return the nodes to put to evacuate a data centre or to restore it.
 
     Args:
-        nodes: The present tree, whose other fields of the data centre are kept.
-        data_centre: Its name.
+        nodes: The present tree; other fields of the data centre are preserved.
+        data_centre: The data centre's name.
         evacuated: Whether its targets get no new work.
     """
     path = data_centre_path(data_centre)
@@ -117,23 +120,23 @@
     return bool(read_node(nodes[path]).settings.get("evacuated", False))
 
 
-def joined_nodes(below: bytes, above: bytes) -> bytes:
-    """Return a node with the fields of two, those of ``above`` before the others."""
-    node, other = read_node(below), read_node(above)
+def merge_nodes(base: bytes, overlay: bytes) -> bytes:
+    """Return a node with the fields of both; ``overlay`` wins over ``base``."""
+    node, other = read_node(base), read_node(overlay)
     return _encoder.encode(TreeNode(other.is_leaf, {**node.settings, **other.settings}))
 
 
 def node_digest(path: str, encoded: bytes) -> int:
-    """Return a number that stands for one node; a tree's digest is their sum.
+    """Return the digest of one node; a tree's digest is the sum over its nodes.
 
-    It tells trees apart that differ by mistake or by chance. It is not made against
-    an operator who would search for two trees of equal digest.
+    It detects trees that differ by accident. It doesn't resist an operator who
+    searches for two trees with the same digest.
     """
     return xxh3_128_intdigest(b"%b\0%b" % (path.encode(), encoded))
 
 
 def tree_digest(nodes: Mapping[str, bytes]) -> int:
-    """Return the digest of all nodes, whatever their order."""
+    """Return the digest of all nodes, independent of their order."""
     total = sum(node_digest(path, encoded) for path, encoded in nodes.items())
     return total % _DIGEST_MODULUS
 
@@ -141,15 +144,14 @@
 def updated_digest(
     digest: int, nodes: Mapping[str, bytes], difference: TreeDifference
 ) -> int:
-    """Return the digest that a tree has after a difference.
+    """Return the digest of a tree after a difference is applied.
 
-    Args:
-        digest: That of the nodes before.
-        nodes: The nodes before.
-        difference: What changes.
+    The time taken depends only on the size of the difference.
 
-    Returns:
-        The digest after, in time that grows with the difference alone.
+    Args:
+        digest: The digest of ``nodes``.
+        nodes: The nodes before the difference.
+        difference: The nodes that change.
     """
     for path in (*difference.removed, *difference.put):
         if path in nodes:
@@ -160,7 +162,7 @@
 
 
 def difference(old: DeclaredTree, new: DeclaredTree) -> TreeDifference:
-    """Return what turns the old tree into the new one."""
+    """Return the difference that turns the old tree into the new one."""
     put = {
         path: encoded
         for path, encoded in new.nodes.items()
@@ -174,27 +176,27 @@
 
 
 def parse_tree(text: str, source: str) -> DeclaredTree:
-    """Check a declared tree.
+    """Parse and validate a declared tree.
 
     Args:
         text: YAML.
-        source: The name to give in errors.
+        source: The name of the text in errors.
 
     Returns:
         The tree.
 
     Raises:
-        TreeError: It names the path of the field, what was found and what is
-            allowed; nothing of the text is used.
+        TreeError: The text is invalid. The error names the path of the field, the
+            value found and the values allowed.
     """
     return run_to_completion(parse_tree_in_slices(text, source))
 
 
 def parse_tree_in_slices(text: str, source: str) -> SlicedWork[DeclaredTree]:
-    """Do what ``parse_tree`` does, stopping after every few milliseconds of work.
+    """Do what ``parse_tree`` does, yielding after every few milliseconds of work.
 
-    At 22,000 customers it takes most of a second in all. Done in one go it would
-    hold up every token that the instance relays meanwhile.
+    A tree of 22,000 customers takes most of a second to parse. In one go this would
+    delay every token that the instance relays in that time.
     """
     if len(text) > MAX_TEXT_BYTES:
         found = f"{len(text)} characters"
@@ -208,101 +210,111 @@
 
 
 def check_tree_in_slices(raw: Any, source: str) -> SlicedWork[DeclaredTree]:
-    """Check a declared tree that was read from another format than YAML.
+    """Validate a declared tree that was read from a format other than YAML.
 
     Args:
-        raw: Plain mappings, lists, texts and numbers.
-        source: The name to give in errors.
+        raw: Plain mappings, lists, strings and numbers.
+        source: The name of the tree in errors.
 
     Returns:
         The tree.
 
     Raises:
-        TreeError: As ``parse_tree`` does.
+        TreeError: The tree is invalid, as for ``parse_tree``.
     """
     try:
         return (yield from _check_in_slices(raw))
-    except Refused as refused:
+    except FieldError as field_error:
         raise TreeError(
-            source, refused.path, refused.found, refused.allowed
-        ) from refused
+            source, field_error.path, field_error.found, field_error.allowed
+        ) from field_error
 
 
 def _check_in_slices(raw: Any) -> SlicedWork[DeclaredTree]:
-    """Check plain values as a tree."""
+    """Validate plain values as a tree and encode its nodes."""
     if raw is None:
         raw = {}
     if not isinstance(raw, dict):
-        raise Refused("(top)", shown(raw), "a mapping of " + ", ".join(ROOTS))
+        raise FieldError(
+            "(top)", describe_value(raw), "a mapping of " + ", ".join(ROOTS)
+        )
     nodes: dict[str, bytes] = {}
     owners: dict[str, str] = {}
     for root, value in raw.items():
         if root not in ROOTS:
-            raise Refused(_root_name(root), "an unknown field", ", ".join(ROOTS))
-        for path, node in _walk(value, root, root, 1):
-            _check_owners(path, node, owners)
+            raise FieldError(_root_name(root), "an unknown field", ", ".join(ROOTS))
+        for path, node in _walk_node(value, root, root, 1):
+            _check_key_owners(path, node, owners)
             nodes[path] = _encoder.encode(node)
             if len(nodes) > MAX_NODES:
-                raise Refused(path, f"over {MAX_NODES} nodes", f"at most {MAX_NODES}")
-            if len(nodes) % SLICE_NODES == 0:
+                raise FieldError(
+                    path, f"over {MAX_NODES} nodes", f"at most {MAX_NODES}"
+                )
+            if len(nodes) % NODES_PER_SLICE == 0:
                 yield
     _check_routes(nodes)
     return DeclaredTree(nodes)
 
 
 def _check_routes(nodes: Mapping[str, bytes]) -> None:
-    """Refuse routes that contradict each other or lead nowhere.
+    """Reject duplicate routes and routes without a declared service.
 
-    With two routes of one host and prefix it would be chance which one a request
-    takes, and a route to a service that nobody declared answers every caller with a
-    refusal that no target could ever lift.
+    With two routes of the same host and prefix, which one a request takes would be
+    arbitrary. A route to an undeclared service would refuse every request, since no
+    target could ever serve it.
     """
     inheritance = Inheritance(nodes)
-    places: dict[tuple[str, str], str] = {}
+    paths_by_match: dict[tuple[str, str], str] = {}
     for path in nodes:
         if not path.startswith("routes/") or not read_node(nodes[path]).is_leaf:
             continue
         route: HttpRouteSettings = inheritance.entity(path)
-        place = (route.host, route.path_prefix)
-        if places.setdefault(place, path) != path:
-            found = f"the host and prefix of {places[place]}"
-            raise Refused(f"{path}.path_prefix", found, "each host and prefix once")
+        match_key = (route.host, route.path_prefix)
+        if paths_by_match.setdefault(match_key, path) != path:
+            found = f"the host and prefix of {paths_by_match[match_key]}"
+            raise FieldError(f"{path}.path_prefix", found, "each host and prefix once")
         _check_backends(path, route, nodes)
 
 
 def _check_backends(
     path: str, route: HttpRouteSettings, nodes: Mapping[str, bytes]
 ) -> None:
-    """Refuse a route without a service that requests can go to."""
+    """Reject a route whose backends are undeclared or have no weight in total."""
     for backend in route.backends:
         leaf = nodes.get(f"services/{backend.service}")
         if leaf is None or not read_node(leaf).is_leaf:
-            found = shown(backend.service)
-            raise Refused(f"{path}.backends", found, "services that are declared")
+            found = describe_value(backend.service)
+            raise FieldError(f"{path}.backends", found, "services that are declared")
     if sum(backend.weight for backend in route.backends) <= 0:
-        raise Refused(f"{path}.backends", "no weight", "a weight above 0 in all")
+        raise FieldError(
+            f"{path}.backends", "weights of 0 in total", "a total weight above 0"
+        )
 
 
 def _root_name(root: Any) -> str:
-    """Return a wrong root as the path of an error."""
-    return root if isinstance(root, str) else shown(root)
+    """Return an unknown root as the path of an error."""
+    return root if isinstance(root, str) else describe_value(root)
 
 
-def _walk(raw: Any, path: str, root: str, depth: int) -> Iterator[tuple[str, TreeNode]]:
-    """Check a node and all below it, parents first."""
+def _walk_node(
+    raw: Any, path: str, root: str, depth: int
+) -> Iterator[tuple[str, TreeNode]]:
+    """Validate a node and yield it and its descendants, parents first."""
     if raw is None:
         raw = {}
     if not isinstance(raw, dict):
-        raise Refused(path, shown(raw), "a mapping of fields")
+        raise FieldError(path, describe_value(raw), "a mapping of fields")
     if depth > MAX_DEPTH:
-        raise Refused(path, f"{depth} levels", f"at most {MAX_DEPTH} levels")
+        raise FieldError(path, f"{depth} levels", f"at most {MAX_DEPTH} levels")
     own = {name: value for name, value in raw.items() if name != "children"}
-    # A root is a branch even with nothing in it: "customers" is no customer.
+    # A root is always a branch, even when empty: "customers" is not a customer.
     is_leaf = "children" not in raw and depth > 1
     node = TreeNode(is_leaf, check_fields(own, ROOTS[root], path))
     if not is_leaf:
         for name in LEAF_FIELDS & node.settings.keys():
-            raise Refused(f"{path}.{name}", "it at a branch", "it at a leaf only")
+            raise FieldError(
+                f"{path}.{name}", "the field at a branch", "the field at a leaf only"
+            )
     yield path, node
     if "children" in raw:
         yield from _walk_children(raw["children"], path, root, depth)
@@ -311,28 +323,30 @@
 def _walk_children(
     raw: Any, path: str, root: str, depth: int
 ) -> Iterator[tuple[str, TreeNode]]:
-    """Check the children of a branch."""
+    """Validate the children of a branch and yield their nodes."""
     if root not in NAME_FIELDS:
-        raise Refused(f"{path}.children", "children", "none under this root")
+        raise FieldError(f"{path}.children", "children", "none under this root")
     if raw is None:
         raw = {}
     if not isinstance(raw, dict):
-        raise Refused(f"{path}.children", shown(raw), "a mapping of nodes by name")
+        raise FieldError(
+            f"{path}.children", describe_value(raw), "a mapping of nodes by name"
+        )
     for name, child in raw.items():
         if not isinstance(name, str) or not _NAME.fullmatch(name):
-            raise Refused(f"{path}.children", shown(name), _NAME_ALLOWED)
-        yield from _walk(child, f"{path}/{name}", root, depth + 1)
+            raise FieldError(f"{path}.children", describe_value(name), _NAME_ALLOWED)
+        yield from _walk_node(child, f"{path}/{name}", root, depth + 1)
 
 
-def _check_owners(path: str, node: TreeNode, owners: dict[str, str]) -> None:
-    """Refuse a key digest that stands at two customers.
+def _check_key_owners(path: str, node: TreeNode, owners: dict[str, str]) -> None:
+    """Reject a key digest that two customers share.
 
-    A caller's key names its customer, so with a digest at two of them one would be
-    charged for the other's work and could read its answers.
+    A caller's key identifies its customer. If two customers had the same key, one
+    would be charged for the other's work and could read its answers.
     """
     for digest in node.settings.get("key_digests", ()):
         if owners.setdefault(digest, path) != path:
-            raise Refused(
+            raise FieldError(
                 f"{path}.key_digests",
                 f"the digest {digest[:8]}... that {owners[digest]} has",
                 "a digest at one customer only",
@@ -343,7 +357,7 @@
 
 
 class Inheritance:
-    """Works out what nodes inherit, remembering the branches above them."""
+    """Resolves inherited settings of nodes, caching those of their branches."""
 
     def __init__(self, nodes: Mapping[str, bytes]) -> None:
         self._nodes = nodes
@@ -351,7 +365,7 @@
         self._limits: dict[tuple[Any, ...], LimitSettings] = {}
 
     def settings(self, path: str) -> dict[str, Any]:
-        """Return all fields in force at a node that any node up to it sets."""
+        """Return all fields that a node or any of its ancestors sets."""
         node = read_node(self._nodes[path])
         parent, _, name = path.rpartition("/")
         if not name or not parent:
@@ -365,14 +379,14 @@
         return merged
 
     def entity(self, path: str) -> Any:
-        """Return the settings in force of a leaf, or of ``fleet``."""
+        """Return the effective settings of a leaf, or of ``fleet``."""
         root, _, name = path.partition("/")
         values = self.settings(path)
         if "limits" in values:
             values["limits"] = self._shared_limits(values["limits"])
         for name_of_rows, kind in _ROW_KINDS.items():
             if name_of_rows in values:
-                values[name_of_rows] = [kind(**one) for one in values[name_of_rows]]
+                values[name_of_rows] = [kind(**row) for row in values[name_of_rows]]
         values = {
             field: tuple(value) if isinstance(value, list) else value
             for field, value in values.items()
@@ -382,7 +396,7 @@
         return ROOTS[root](**values)
 
     def _shared_limits(self, values: dict[str, Any]) -> LimitSettings:
-        """Return limits, one object for all customers with the same ones."""
+        """Return limits as one object shared by all customers with equal limits."""
         key = tuple(sorted(values.items()))
         if key not in self._limits:
             self._limits[key] = LimitSettings(**values)
@@ -390,14 +404,14 @@
 
 
 def effective_tree(declared: DeclaredTree, revision: int) -> EffectiveTree:
-    """Return the settings in force under a declared tree.
+    """Return the effective settings of a declared tree.
 
     Args:
-        declared: A checked tree.
-        revision: The revision that it has.
+        declared: A validated tree.
+        revision: The tree's revision.
 
     Returns:
-        Each entity with its inherited settings.
+        All entities with their inherited settings.
     """
     inheritance = Inheritance(declared.nodes)
     entities: dict[str, dict[str, Any]] = {root: {} for root in NAME_FIELDS}
@@ -415,7 +429,7 @@
 
 
 def fleet_settings(declared: DeclaredTree) -> FleetSettings:
-    """Return the settings of the whole deployment under a declared tree."""
+    """Return the fleet-wide settings of a declared tree."""
     if "fleet" not in declared.nodes:
         return FleetSettings()
     fleet: FleetSettings = Inheritance(declared.nodes).entity("fleet")
@@ -423,35 +437,35 @@
 
 
 def origins(declared: DeclaredTree, path: str) -> Mapping[str, Origin]:
-    """Return each effective value of a node with the branch that it comes from.
+    """Return each effective value of a node with the branch that sets it.
 
     Args:
-        declared: A checked tree.
+        declared: A validated tree.
         path: A leaf or branch, such as ``customers/clubs/anand``.
 
     Returns:
-        Origins by field; those of limits as ``limits.queued_requests``. A value
-        that no branch sets has the branch ``(default)``.
+        Origins by field name; limits are named like ``limits.queued_requests``. A
+        value that no branch sets has the branch ``(default)``.
 
     Raises:
-        TreeError: The tree has no such node.
+        TreeError: The tree has no node at this path.
     """
     root = path.partition("/")[0]
     if path not in declared.nodes:
         raise TreeError("(tree)", path, "no such node", "the path of a node")
     found: dict[str, Origin] = {}
-    _put_origins(found, field_defaults(ROOTS[root]), "(default)")
+    _record_origins(found, field_defaults(ROOTS[root]), "(default)")
     branches = path.split("/")
     for length in range(1, len(branches) + 1):
         branch = "/".join(branches[:length])
-        _put_origins(found, read_node(declared.nodes[branch]).settings, branch)
+        _record_origins(found, read_node(declared.nodes[branch]).settings, branch)
     return found
 
 
-def _put_origins(
+def _record_origins(
     found: dict[str, Origin], settings: Mapping[str, Any], branch: str
 ) -> None:
-    """Note a branch as the origin of what it sets."""
+    """Record a branch as the origin of the values that it sets."""
     for name, value in settings.items():
         if name == "limits":
             values = value if isinstance(value, dict) else field_defaults(LimitSettings)
--- a/sesameford/tree_changes.py
+++ b/sesameford/tree_changes.py
@@ -1,9 +1,9 @@
-"""The state machine that accepts changes of the settings tree, one at a time.
+"""The replicated state machine that accepts changes of the settings tree in order.
 
 A command carries the difference from the tree at its base revision, not the whole
-tree: the instance that took the change has parsed and checked it, so the replicas
-neither parse 22,000 customers nor store them for each change. The digest of the
-resulting tree proves that the difference met the tree that it was made for.
+tree: the instance that received the change has parsed and validated it, so replicas
+neither parse nor store 22,000 customers for each change. The digest of the resulting
+tree proves that the difference was applied to the tree that it was computed from.
 """
 
 from collections import OrderedDict
@@ -16,23 +16,24 @@
     DATA_CENTRES,
     DeclaredTree,
     TreeDifference,
-    data_centre_nodes,
     data_centre_path,
     difference,
+    evacuation_nodes,
     is_evacuated,
-    joined_nodes,
+    merge_nodes,
     tree_digest,
 )
 from sesameford.tree_store import TreeStep, TreeStore
 
 MACHINE_NAME = "tree"
 
-# A week of changes at the target size. An older change sent again is answered as a
-# conflict; it can't be accepted twice, since its base revision is long past.
-KEPT_ACCEPTED = 5000
-KEPT_REFUSED = 1000
-HISTORY_PATHS = 5
-HISTORY_PAGE = 500
+# Covers a week of changes at the target size. An older change that is sent again is
+# answered as a conflict; it can't be accepted twice, because its base revision is no
+# longer the present one.
+MAX_ACCEPTED_ANSWERS = 5000
+MAX_REJECTED_ANSWERS = 1000
+MAX_HISTORY_ENTRY_PATHS = 5
+HISTORY_PAGE_ENTRIES = 500
 
 ACCEPTED = "accepted"
 UNCHANGED = "unchanged"
@@ -58,17 +59,17 @@
 
 
 class HistoryQuery(Struct, frozen=True, tag="HistoryWanted"):
-    """Read the history below a revision through the log; it changes nothing."""
+    """Requests the history before a revision through the log; changes no state."""
 
     before_revision: int
 
 
 class TreeDeclaration(Struct, frozen=True, tag=True):
-    """All of some roots as a declarer outside wants them, under its own version.
+    """The full contents of some roots, from an external declarer that versions them.
 
-    The highest version wins. ``nodes`` replaces everything under ``roots``; the
-    fields of ``fleet`` are put beside those that others have set there. ``text`` is
-    the declarer's own document, which it may read back.
+    The highest version wins. ``nodes`` replaces everything under ``roots``; fields of
+    ``fleet`` are merged with those that others have set. ``text`` is the declarer's
+    own document, stored so that the declarer can read it back.
     """
 
     declarer: str
@@ -80,11 +81,11 @@
 
 
 class EvacuationOrder(Struct, frozen=True, tag=True):
-    """Evacuate a data centre, or restore it.
+    """Requests that a data centre is evacuated or restored.
 
-    ``base_revision`` is the newest one that the instance knew which took the order. If
-    the data centre was evacuated or restored since, the order has been overtaken.
-    ``order_id`` is empty where the operator gives orders no id.
+    ``base_revision`` is the newest revision at the instance that received the order.
+    The order is out of date if the data centre was evacuated or restored after it.
+    ``order_id`` is empty if the operator gave the order no id.
     """
 
     order_id: str
@@ -96,13 +97,14 @@
 
 
 class DeclaredVersionQuery(Struct, frozen=True, tag="DeclaredWanted"):
-    """Agree on which version is the newest accepted one; it changes nothing."""
+    """Requests the newest accepted version through the log; changes no state."""
 
 
 class ChangeAnswer(Struct, frozen=True):
-    """What became of a change; ``revision`` is the present one at that moment.
+    """The result of a command.
 
-    ``version`` is that of the newest accepted declaration, 0 while there is none.
+    ``revision`` is the revision of the tree after the command; ``version`` is that of
+    the newest accepted declaration, or 0 if there is none.
     """
 
     status: str
@@ -112,7 +114,7 @@
 
 
 class HistoryEntry(Struct, frozen=True):
-    """An accepted change: who made it and the first few paths that it touched."""
+    """An accepted change: its operator and the first few of the paths it changed."""
 
     revision: int
     change_id: str
@@ -122,8 +124,8 @@
     path_count: int
 
 
-class _Recorded(Struct, frozen=True, array_like=True):
-    """An answer kept for resends, with the digest that it was given for."""
+class _RecordedAnswer(Struct, frozen=True, array_like=True):
+    """An answer stored for resends, with the digest of the change it answers."""
 
     change_id: str
     digest: bytes
@@ -131,13 +133,13 @@
 
 
 class _Snapshot(Struct, frozen=True):
-    """All state of the machine."""
+    """The complete state of the state machine."""
 
     revision: int
     nodes: dict[str, bytes]
     history: tuple[HistoryEntry, ...]
-    answered: tuple[_Recorded, ...]
-    turned_down: tuple[_Recorded, ...]
+    answered: tuple[_RecordedAnswer, ...]
+    turned_down: tuple[_RecordedAnswer, ...]
     declared_version: int = 0
     declared_text: bytes = b""
     evacuation_revisions: dict[str, int] = {}
@@ -155,89 +157,89 @@
 
 
 def encode_command(command: Command) -> bytes:
-    """Return a command as the log carries it."""
+    """Encode a command for the log."""
     return _encoder.encode(command)
 
 
 def decode_answer(encoded: bytes) -> ChangeAnswer:
-    """Return the machine's answer to a change."""
+    """Decode the answer to a change."""
     return _answers.decode(encoded)
 
 
 def decode_history(encoded: bytes) -> Sequence[HistoryEntry]:
-    """Return the machine's answer to a wanted history, newest first."""
+    """Decode the answer to a history query, newest entry first."""
     return _histories.decode(encoded)
 
 
 def digest_bytes(digest: int) -> bytes:
-    """Return a tree's digest as commands carry it."""
+    """Encode a tree's digest for a command."""
     return digest.to_bytes(16, "big")
 
 
 class TreeMachine:
-    """The accepted tree, its history and the answers given.
+    """The accepted tree, its history and the stored answers.
 
     Args:
-        committed: Called with this machine after each accepted change and after
-            a snapshot was restored.
+        on_commit: Called with this state machine after each accepted change and after
+            a snapshot is restored.
     """
 
     name = MACHINE_NAME
 
-    def __init__(self, committed: Callable[["TreeMachine"], None]) -> None:
-        self._committed = committed
+    def __init__(self, on_commit: Callable[["TreeMachine"], None]) -> None:
+        self._on_commit = on_commit
         self._history: OrderedDict[int, HistoryEntry] = OrderedDict()
-        self._answered: OrderedDict[str, _Recorded] = OrderedDict()
-        self._turned_down: OrderedDict[str, _Recorded] = OrderedDict()
+        self._accepted_answers: OrderedDict[str, _RecordedAnswer] = OrderedDict()
+        self._rejected_answers: OrderedDict[str, _RecordedAnswer] = OrderedDict()
         self.store = TreeStore()
         self.declared_version = 0
         self.declared_text = b""
-        # The revision at which each data centre was evacuated or restored last.
+        # The revision at which each data centre was last evacuated or restored.
         self._evacuation_revisions: dict[str, int] = {}
 
     def apply(self, index: int, command: bytes) -> bytes:
         """Apply one committed command and return the answer for its proposer.
 
         Args:
-            index: The command's place in the log.
-            command: One of the five commands; anything else is refused.
+            index: The command's index in the log.
+            command: One of the five encoded commands; anything else is refused.
 
         Returns:
-            A coded ``ChangeAnswer``, or the history.
+            An encoded ``ChangeAnswer``, or the encoded history.
         """
         try:
             decoded = _commands.decode(command)
         except (DecodeError, ValidationError, UnicodeDecodeError) as error:
-            return _encoder.encode(self._answer(REFUSED, f"malformed: {error}"))
+            return _encoder.encode(self._make_answer(REFUSED, f"malformed: {error}"))
         if isinstance(decoded, HistoryQuery):
             return _encoder.encode(self.history(decoded.before_revision))
         if isinstance(decoded, DeclaredVersionQuery):
-            return _encoder.encode(self._answer(UNCHANGED))
+            return _encoder.encode(self._make_answer(UNCHANGED))
         if isinstance(decoded, TreeDeclaration):
-            return _encoder.encode(self._declare(decoded))
+            return _encoder.encode(self._apply_declaration(decoded))
         if isinstance(decoded, EvacuationOrder):
-            return _encoder.encode(self._evacuate(decoded))
-        return _encoder.encode(self._change(decoded))
+            return _encoder.encode(self._apply_evacuation(decoded))
+        return _encoder.encode(self._apply_change(decoded))
 
     def history(self, before_revision: int) -> tuple[HistoryEntry, ...]:
-        """Return accepted changes below a revision, newest first, one page."""
+        """Return one page of accepted changes before a revision, newest first."""
         found = []
         for revision in reversed(self._history):
             if revision < before_revision:
                 found.append(self._history[revision])
-            if len(found) == HISTORY_PAGE:
+            if len(found) == HISTORY_PAGE_ENTRIES:
                 break
         return tuple(found)
 
     def snapshot(self) -> bytes:
-        """Return the whole state, with the tables that recognise resends."""
+        """Return the encoded state, with the stored answers that recognise resends."""
         return _encoder.encode(
             _Snapshot(
                 self.store.revision,
                 dict(self.store.declared.nodes),
                 tuple(self._history.values()),
-                tuple(self._answered.values()),
-                tuple(self._turned_down.values()),
+                tuple(self._accepted_answers.values()),
+                tuple(self._rejected_answers.values()),
                 self.declared_version,
                 self.declared_text,
                 self._evacuation_revisions,
@@ -245,133 +247,144 @@
         )
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace the whole state by that of a snapshot."""
+        """Replace the state with that of a snapshot."""
         decoded = _snapshots.decode(snapshot)
         self.store.replace(decoded.revision, decoded.nodes, tree_digest(decoded.nodes))
-        self._history = OrderedDict((one.revision, one) for one in decoded.history)
-        self._answered = _by_change_id(decoded.answered)
-        self._turned_down = _by_change_id(decoded.turned_down)
+        self._history = OrderedDict(
+            (entry.revision, entry) for entry in decoded.history
+        )
+        self._accepted_answers = _index_by_change_id(decoded.answered)
+        self._rejected_answers = _index_by_change_id(decoded.turned_down)
         self.declared_version = decoded.declared_version
         self.declared_text = decoded.declared_text
         self._evacuation_revisions = dict(decoded.evacuation_revisions)
-        self._committed(self)
+        self._on_commit(self)
 
-    def _answer(self, status: str, detail: str = "") -> ChangeAnswer:
+    def _make_answer(self, status: str, detail: str = "") -> ChangeAnswer:
         return ChangeAnswer(status, self.store.revision, detail, self.declared_version)
 
-    def _declare(self, declaration: TreeDeclaration) -> ChangeAnswer:
-        """Take a declaration whose version is the highest so far.
+    def _apply_declaration(self, declaration: TreeDeclaration) -> ChangeAnswer:
+        """Apply a declaration if its version is higher than all before.
 
-        One that comes again, or late, is acknowledged like the first time: its
-        declarer only wants to know that the fleet has this version or a newer one.
+        A repeated or late declaration is acknowledged without effect: its declarer
+        only needs to know that the fleet has this version or a newer one.
         """
         if declaration.version <= self.declared_version:
-            return self._answer(UNCHANGED)
+            return self._make_answer(UNCHANGED)
         self.declared_version = declaration.version
         self.declared_text = declaration.text
-        nodes = _with_declared(self.store.declared.nodes, declaration)
+        nodes = _merge_declaration(self.store.declared.nodes, declaration)
         found = difference(self.store.declared, DeclaredTree(nodes))
         if found.is_empty():
-            return self._answer(ACCEPTED)
-        self._step(found)
-        self._note(
+            return self._make_answer(ACCEPTED)
+        self._advance(found)
+        self._record_history(
             f"{declaration.declarer}/{declaration.version}",
             declaration.declarer,
             declaration.at_seconds,
             found,
         )
-        self._committed(self)
-        return self._answer(ACCEPTED)
+        self._on_commit(self)
+        return self._make_answer(ACCEPTED)
 
-    def _evacuate(self, order: EvacuationOrder) -> ChangeAnswer:
-        """Evacuate a data centre, or restore it.
+    def _apply_evacuation(self, order: EvacuationOrder) -> ChangeAnswer:
+        """Evacuate a data centre or restore it, once for each order id.
 
-        An order that comes again finds what it wants in force. One that waited on its
-        way while its opposite was accepted would undo a newer wish, and is told so.
+        A repeated order finds its state already in force. An order that was delayed
+        while its opposite was accepted would undo the newer order, so it is answered
+        as a conflict.
         """
-        recorded = self._recorded(order.order_id)
+        recorded = self._recorded_answer(order.order_id)
         if recorded is not None:
             if recorded.digest != _order_digest(order):
-                return self._answer(REFUSED, "this id was used for another change")
+                return self._make_answer(REFUSED, "this id was used for another change")
             return recorded.answer
         answer = self._decide_order(order)
         if order.order_id and answer.status != CONFLICT:
-            table, limit = self._turned_down, KEPT_REFUSED
+            table, limit = self._rejected_answers, MAX_REJECTED_ANSWERS
             if answer.status == ACCEPTED:
-                table, limit = self._answered, KEPT_ACCEPTED
-            record = _Recorded(order.order_id, _order_digest(order), answer)
-            _keep(table, record, limit)
+                table, limit = self._accepted_answers, MAX_ACCEPTED_ANSWERS
+            record = _RecordedAnswer(order.order_id, _order_digest(order), answer)
+            _store_record(table, record, limit)
         if answer.status == ACCEPTED:
-            self._committed(self)
+            self._on_commit(self)
         return answer
 
     def _decide_order(self, order: EvacuationOrder) -> ChangeAnswer:
-        """Take an order into force unless it is already, or was overtaken."""
+        """Apply an order unless it is in force already or out of date."""
         nodes = self.store.declared.nodes
         if is_evacuated(nodes, order.data_centre) == order.evacuated:
-            return self._answer(UNCHANGED)
+            return self._make_answer(UNCHANGED)
         newest = self._evacuation_revisions.get(order.data_centre, 0)
         if newest > order.base_revision:
-            return self._answer(CONFLICT)
-        put = data_centre_nodes(nodes, order.data_centre, order.evacuated)
+            return self._make_answer(CONFLICT)
+        put = evacuation_nodes(nodes, order.data_centre, order.evacuated)
         found = TreeDifference(put, ())
-        self._step(found)
-        shown = TreeDifference({data_centre_path(order.data_centre): b""}, ())
+        self._advance(found)
+        history_difference = TreeDifference(
+            {data_centre_path(order.data_centre): b""}, ()
+        )
         change_id = order.order_id or ("evacuate" if order.evacuated else "restore")
-        self._note(change_id, order.operator, order.at_seconds, shown)
-        return self._answer(ACCEPTED)
+        self._record_history(
+            change_id, order.operator, order.at_seconds, history_difference
+        )
+        return self._make_answer(ACCEPTED)
 
-    def _recorded(self, change_id: str) -> _Recorded | None:
-        """Return what was answered under an id before, if it is still kept."""
-        return self._answered.get(change_id) or self._turned_down.get(change_id)
+    def _recorded_answer(self, change_id: str) -> _RecordedAnswer | None:
+        """Return the stored answer to an id, if there is one."""
+        return self._accepted_answers.get(change_id) or self._rejected_answers.get(
+            change_id
+        )
 
-    def _step(self, found: TreeDifference) -> None:
-        """Go one revision on by a difference that was worked out here."""
+    def _advance(self, found: TreeDifference) -> None:
+        """Advance the tree by one revision with a difference computed here."""
         revision = self.store.revision + 1
-        self.store.step(TreeStep(revision, found, self.store.would_be(found)))
+        self.store.apply_step(TreeStep(revision, found, self.store.digest_after(found)))
 
-    def _change(self, change: TreeChange) -> ChangeAnswer:
-        """Accept or turn down a change, once for each change id."""
-        # An operator whose answer was lost sends the change again. Taken as new, it
-        # would be told of a conflict with itself; the first answer is the truth.
-        recorded = self._recorded(change.change_id)
+    def _apply_change(self, change: TreeChange) -> ChangeAnswer:
+        """Accept or reject a change, once for each change id."""
+        # An operator that lost the answer sends the change again. As a new change it
+        # would conflict with itself, so the first answer is repeated.
+        recorded = self._recorded_answer(change.change_id)
         if recorded is not None:
             if recorded.digest != change.digest:
-                return self._answer(REFUSED, "this change id was used for another tree")
+                return self._make_answer(
+                    REFUSED, "this change id was used for another tree"
+                )
             return recorded.answer
-        answer = self._decide(change)
+        answer = self._decide_change(change)
         if answer.status == ACCEPTED:
-            _record(self._answered, change, answer, KEPT_ACCEPTED)
-            self._committed(self)
+            _store_answer(self._accepted_answers, change, answer, MAX_ACCEPTED_ANSWERS)
+            self._on_commit(self)
         elif answer.status != BEHIND:
-            _record(self._turned_down, change, answer, KEPT_REFUSED)
+            _store_answer(self._rejected_answers, change, answer, MAX_REJECTED_ANSWERS)
         return answer
 
-    def _decide(self, change: TreeChange) -> ChangeAnswer:
-        """Take a change into force where it fits the present tree."""
+    def _decide_change(self, change: TreeChange) -> ChangeAnswer:
+        """Apply a change if it is based on the present tree."""
         if change.digest == digest_bytes(self.store.digest):
-            return self._answer(UNCHANGED)
+            return self._make_answer(UNCHANGED)
         if change.base_revision != self.store.revision:
-            return self._answer(CONFLICT)
+            return self._make_answer(CONFLICT)
         step = TreeStep(
             self.store.revision + 1,
             TreeDifference(change.put, change.removed),
             int.from_bytes(change.digest, "big"),
         )
-        # The instance that took the change had not heard of the base revision yet.
-        # This says nothing about the change, so it is not kept as its answer.
-        if not self.store.step(step):
-            return self._answer(BEHIND, "the difference does not fit the tree")
-        self._note(
+        # The instance that received the change hadn't reached the base revision yet.
+        # That is no property of the change, so the answer isn't stored.
+        if not self.store.apply_step(step):
+            return self._make_answer(BEHIND, "the difference does not fit the tree")
+        self._record_history(
             change.change_id, change.operator, change.at_seconds, step.difference
         )
-        return self._answer(ACCEPTED)
+        return self._make_answer(ACCEPTED)
 
-    def _note(
-        self, change_id: str, operator: str, at_seconds: float, done: TreeDifference
+    def _record_history(
+        self, change_id: str, operator: str, at_seconds: float, applied: TreeDifference
     ) -> None:
-        """Put an accepted change into the history, and note whom it evacuates."""
-        paths = sorted({*done.put, *done.removed})
+        """Record an accepted change in the history and in the evacuation revisions."""
+        paths = sorted({*applied.put, *applied.removed})
         for path in paths:
             root, _, name = path.partition("/")
             if root == DATA_CENTRES and name:
@@ -381,17 +394,17 @@
             change_id,
             operator,
             at_seconds,
-            tuple(paths[:HISTORY_PATHS]),
+            tuple(paths[:MAX_HISTORY_ENTRY_PATHS]),
             len(paths),
         )
-        if len(self._history) > KEPT_ACCEPTED:
+        if len(self._history) > MAX_ACCEPTED_ANSWERS:
             self._history.popitem(last=False)
 
 
-def _with_declared(
+def _merge_declaration(
     present: Mapping[str, bytes], declaration: TreeDeclaration
 ) -> dict[str, bytes]:
-    """Return the nodes as they are once a declaration is taken over."""
+    """Return the nodes of the tree after a declaration is applied."""
     nodes = {
         path: encoded
         for path, encoded in present.items()
@@ -399,34 +412,40 @@
     }
     nodes.update(declaration.nodes)
     if "fleet" in declaration.nodes and "fleet" in present:
-        nodes["fleet"] = joined_nodes(present["fleet"], declaration.nodes["fleet"])
+        nodes["fleet"] = merge_nodes(present["fleet"], declaration.nodes["fleet"])
     return nodes
 
 
-def _record(
-    table: OrderedDict[str, _Recorded],
+def _store_answer(
+    table: OrderedDict[str, _RecordedAnswer],
     change: TreeChange,
     answer: ChangeAnswer,
     limit: int,
 ) -> None:
-    """Keep an answer for resends, dropping the oldest beyond the limit."""
-    _keep(table, _Recorded(change.change_id, change.digest, answer), limit)
+    """Store an answer for resends, dropping the oldest beyond the limit."""
+    _store_record(
+        table, _RecordedAnswer(change.change_id, change.digest, answer), limit
+    )
 
 
-def _keep(table: OrderedDict[str, _Recorded], record: _Recorded, limit: int) -> None:
-    """Keep one answer more, dropping the oldest beyond the limit."""
+def _store_record(
+    table: OrderedDict[str, _RecordedAnswer], record: _RecordedAnswer, limit: int
+) -> None:
+    """Store an answer record, dropping the oldest beyond the limit."""
     table[record.change_id] = record
     if len(table) > limit:
         table.popitem(last=False)
 
 
 def _order_digest(order: EvacuationOrder) -> bytes:
-    """Return what tells an order from others under the same id."""
+    """Return bytes that distinguish different orders under the same id."""
     return f"{order.data_centre}/{order.evacuated}".encode()
 
 
-def _by_change_id(records: Sequence[_Recorded]) -> OrderedDict[str, _Recorded]:
-    """Return kept answers by their change id, oldest first."""
+def _index_by_change_id(
+    records: Sequence[_RecordedAnswer],
+) -> OrderedDict[str, _RecordedAnswer]:
+    """Index stored answers by change id, oldest first."""
     return OrderedDict((record.change_id, record) for record in records)
 
 
@@ -439,28 +458,27 @@
     operator: str,
     at_seconds: float,
 ) -> TreeChange:
-    """Return the command for a declared tree, as seen from a store.
+    """Return the command that proposes a declared tree.
 
     Args:
-        store: The tree that this instance holds.
-        difference: What turns the store's tree into the declared one.
-        change_id: The operator's id of the change.
+        store: The tree at this instance.
+        difference: The difference from the store's tree to the declared one.
+        change_id: The operator's id for the change.
         base_revision: The revision that the operator started from.
-        operator: Who asks for it.
+        operator: The operator that requests the change.
         at_seconds: Wall-clock time for the history.
 
     Returns:
-        A command. Where the store is not at the base revision it carries no
-        difference: it can then only be recognised as a resend, found to be in
-        force already, or told of the conflict.
+        A command. If the store isn't at the base revision, it carries no difference
+        and can only be answered as a resend, as unchanged or as a conflict.
     """
-    fits = base_revision == store.revision
+    is_at_base = base_revision == store.revision
     return TreeChange(
         change_id,
         base_revision,
         operator,
         at_seconds,
-        dict(difference.put) if fits else {},
-        difference.removed if fits else (),
-        digest_bytes(store.would_be(difference)),
+        dict(difference.put) if is_at_base else {},
+        difference.removed if is_at_base else (),
+        digest_bytes(store.digest_after(difference)),
     )
--- a/sesameford/tree_fields.py
+++ b/sesameford/tree_fields.py
@@ -1,8 +1,7 @@
-"""The fields that a node of the settings tree may have, and their checks.
+"""The fields that a node of the settings tree may have, and their validation.
 
-The fields are those of the data classes in ``sesameford/effective.py``. A field's
-type gives its plain check; the few that need a narrower one stand in
-``_NARROWER``.
+The fields are those of the data classes in ``sesameford/effective.py``. A field is
+validated by its type, unless ``_NARROWER_CHECKS`` has a stricter check for it.
 """
 
 import re
@@ -40,7 +39,7 @@
     }
 )
 
-# Each root's field that names the entity; it comes from the path of the leaf.
+# The field of each root that identifies the entity; its value is the leaf's path.
 NAME_FIELDS: Mapping[str, str] = MappingProxyType(
     {
         "customers": "customer_id",
@@ -53,14 +52,14 @@
     }
 )
 
-# Fields that make sense for one entity alone and can't be inherited.
+# Fields that belong to a single entity and can't be inherited.
 LEAF_FIELDS = frozenset({"key_digests", "evacuated"})
 
 MAX_NUMBER = 1e12
 MAX_ROUTES = 200
 MAX_BACKENDS = 100
-MAX_DIGESTS = 20
-MAX_LIFTED = 100
+MAX_KEY_DIGESTS = 20
+MAX_LIFTED_DIGESTS = 100
 MAX_NAMES = 200
 
 _DIGEST = re.compile(r"[0-9a-f]{64}")
@@ -69,13 +68,13 @@
 _HOST = re.compile(r"[a-z0-9._:\[\]-]{0,255}")
 
 
-class Refused(Exception):
-    """A value that a field does not take.
+class FieldError(Exception):
+    """A field has an invalid value.
 
     Args:
-        path: Where it stands.
+        path: The path of the field.
         found: What was found there.
-        allowed: What would be accepted.
+        allowed: What the field accepts.
     """
 
     def __init__(self, path: str, found: str, allowed: str) -> None:
@@ -88,84 +87,84 @@
 Check = Callable[[Any, str], Any]
 
 
-def shown(value: object) -> str:
-    """Return a value as an error message shows it, shortened."""
+def describe_value(value: object) -> str:
+    """Return a value's representation for an error message, shortened."""
     try:
         text = repr(value)
     except ValueError:
-        # Python refuses to write out a number of thousands of digits.
+        # Python raises ValueError for integers of thousands of digits.
         return "a number that is far too large"
     return text if len(text) <= 80 else f"{text[:77]}..."
 
 
-def _number(low: float, high: float, above: bool = False) -> Check:
-    """Return a check for a number in a range; ``above`` leaves out the low end."""
-    sign = "above" if above else "from"
+def _number(low: float, high: float, exclusive_low: bool = False) -> Check:
+    """Return a check for a number in a range, optionally without its low end."""
+    sign = "above" if exclusive_low else "from"
     allowed = f"a number {sign} {low:g} to {high:g}"
 
     def check(value: Any, path: str) -> float:
         # YAML reads .nan and .inf as numbers. A customer with a share that is not
-        # finite would never, or always, be next, so both are refused here.
+        # finite would never or always be scheduled next, so both are rejected.
         if isinstance(value, bool) or not isinstance(value, int | float):
-            raise Refused(path, shown(value), allowed)
+            raise FieldError(path, describe_value(value), allowed)
         if value < low or value > high or not isfinite(value):
-            raise Refused(path, shown(value), allowed)
-        if above and value == low:
-            raise Refused(path, shown(value), allowed)
+            raise FieldError(path, describe_value(value), allowed)
+        if exclusive_low and value == low:
+            raise FieldError(path, describe_value(value), allowed)
         return float(value)
 
     return check
 
 
 def _integer(low: int, high: int) -> Check:
-    """Return a check for a whole number in a range."""
+    """Return a check for an integer in a range."""
     allowed = f"a whole number from {low} to {high}"
 
     def check(value: Any, path: str) -> int:
         if isinstance(value, bool) or not isinstance(value, int):
-            raise Refused(path, shown(value), allowed)
+            raise FieldError(path, describe_value(value), allowed)
         if not low <= value <= high:
-            raise Refused(path, shown(value), allowed)
+            raise FieldError(path, describe_value(value), allowed)
         return value
 
     return check
 
 
-def _or_none(inner: Check) -> Check:
-    """Return a check that also takes null, which lifts an inherited value."""
+def _nullable(inner: Check) -> Check:
+    """Return a check that also accepts null, which unsets an inherited value."""
 
     def check(value: Any, path: str) -> Any:
         if value is None:
             return None
         try:
             return inner(value, path)
-        except Refused as refused:
-            allowed = f"{refused.allowed}, or null"
-            raise Refused(refused.path, refused.found, allowed) from None
+        except FieldError as field_error:
+            allowed = f"{field_error.allowed}, or null"
+            raise FieldError(field_error.path, field_error.found, allowed) from None
 
     return check
 
 
 def _boolean(value: Any, path: str) -> bool:
-    """Check a truth value."""
+    """Check a boolean."""
     if not isinstance(value, bool):
-        raise Refused(path, shown(value), "true or false")
+        raise FieldError(path, describe_value(value), "true or false")
     return value
 
 
 def _text(value: Any, path: str) -> str:
-    """Check a short text."""
+    """Check a short string."""
     if not isinstance(value, str) or not 0 < len(value) <= 200:
-        raise Refused(path, shown(value), "a text of 1 to 200 characters")
+        raise FieldError(path, describe_value(value), "a text of 1 to 200 characters")
     return value
 
 
 def _one_of(*words: str) -> Check:
-    """Return a check for one of a few words."""
+    """Return a check for one of several keywords."""
 
     def check(value: Any, path: str) -> str:
         if value not in words:
-            raise Refused(path, shown(value), " or ".join(words))
+            raise FieldError(path, describe_value(value), " or ".join(words))
         return str(value)
 
     return check
@@ -177,14 +176,16 @@
 
     def check(value: Any, path: str) -> list[str]:
         if not isinstance(value, list) or len(value) > limit:
-            raise Refused(path, shown(value), f"a list of at most {limit} digests")
+            raise FieldError(
+                path, describe_value(value), f"a list of at most {limit} digests"
+            )
         seen: set[str] = set()
         for position, digest in enumerate(value):
             where = f"{path}[{position}]"
             if not isinstance(digest, str) or not _DIGEST.fullmatch(digest):
-                raise Refused(where, shown(digest), allowed)
+                raise FieldError(where, describe_value(digest), allowed)
             if digest in seen:
-                raise Refused(where, "a digest twice", "each digest once")
+                raise FieldError(where, "a digest twice", "each digest once")
             seen.add(digest)
         return value
 
@@ -192,45 +193,49 @@
 
 
 def _names(value: Any, path: str) -> list[str]:
-    """Check a list of names, of models for one."""
+    """Check a list of names, such as model names."""
     allowed = f"a list of at most {MAX_NAMES} different names"
     if not isinstance(value, list) or len(value) > MAX_NAMES:
-        raise Refused(path, shown(value), allowed)
+        raise FieldError(path, describe_value(value), allowed)
     for position, name in enumerate(value):
         if not isinstance(name, str) or not _NAME.fullmatch(name):
-            raise Refused(f"{path}[{position}]", shown(name), allowed)
+            raise FieldError(f"{path}[{position}]", describe_value(name), allowed)
     if len(set(value)) < len(value):
-        raise Refused(path, "a name twice", allowed)
+        raise FieldError(path, "a name twice", allowed)
     return value
 
 
 def _method(value: Any, path: str) -> str:
     """Check a route's method."""
     if not isinstance(value, str) or not _METHOD.fullmatch(value):
-        raise Refused(path, shown(value), "a method in upper case, or '*' for all")
+        raise FieldError(
+            path, describe_value(value), "a method in upper case, or '*' for all"
+        )
     return value
 
 
 def _path_prefix(value: Any, path: str) -> str:
     """Check a route's path prefix."""
     if not isinstance(value, str) or not re.fullmatch(r"/[!-~]{0,500}", value):
-        raise Refused(path, shown(value), "a path that starts with '/'")
+        raise FieldError(path, describe_value(value), "a path that starts with '/'")
     return value
 
 
 def _host(value: Any, path: str) -> str:
     """Check a route's host."""
     if not isinstance(value, str) or not _HOST.fullmatch(value):
-        raise Refused(path, shown(value), "a host name in lower case")
+        raise FieldError(path, describe_value(value), "a host name in lower case")
     return value
 
 
-def _whole_rows(kind: type, limit: int, what: str) -> Check:
-    """Return a check for a list of mappings that give all fields of a data class."""
+def _rows(kind: type, limit: int, what: str) -> Check:
+    """Return a check for a list of mappings that set all fields of a data class."""
 
     def check(value: Any, path: str) -> list[dict[str, Any]]:
         if not isinstance(value, list) or len(value) > limit:
-            raise Refused(path, shown(value), f"a list of at most {limit} {what}s")
+            raise FieldError(
+                path, describe_value(value), f"a list of at most {limit} {what}s"
+            )
         rows = []
         for position, row in enumerate(value):
             where = f"{path}[{position}]"
@@ -238,7 +243,7 @@
             missing = sorted(set(field_checks(kind)) - set(checked))
             if missing:
                 allowed = f"all fields of a {what}"
-                raise Refused(where, "no " + ", ".join(missing), allowed)
+                raise FieldError(where, "no " + ", ".join(missing), allowed)
             rows.append(checked)
         return rows
 
@@ -246,27 +251,27 @@
 
 
 def _limits(value: Any, path: str) -> dict[str, Any]:
-    """Check the limits of a customer; those left out are inherited."""
+    """Check the limits of a customer; omitted limits are inherited."""
     return check_fields(value, LimitSettings, path)
 
 
-_NARROWER: Mapping[tuple[type, str], Check] = MappingProxyType(
+_NARROWER_CHECKS: Mapping[tuple[type, str], Check] = MappingProxyType(
     {
-        (CustomerSettings, "share"): _number(0, 1e6, above=True),
-        (CustomerSettings, "deadline_seconds"): _number(0, 86_400, above=True),
+        (CustomerSettings, "share"): _number(0, 1e6, exclusive_low=True),
+        (CustomerSettings, "deadline_seconds"): _number(0, 86_400, exclusive_low=True),
         (CustomerSettings, "key_digests"): _digests(
-            MAX_DIGESTS, "the SHA-256 of a key"
+            MAX_KEY_DIGESTS, "the SHA-256 of a key"
         ),
         (CustomerSettings, "limits"): _limits,
-        (ServiceSettings, "routes"): _whole_rows(RouteSettings, MAX_ROUTES, "route"),
-        (HttpRouteSettings, "backends"): _whole_rows(
+        (ServiceSettings, "routes"): _rows(RouteSettings, MAX_ROUTES, "route"),
+        (HttpRouteSettings, "backends"): _rows(
             BackendSettings, MAX_BACKENDS, "backend"
         ),
         (HttpRouteSettings, "host"): _host,
         (HttpRouteSettings, "path_prefix"): _path_prefix,
         (HttpRouteSettings, "attempts"): _integer(1, 100),
-        (HttpRouteSettings, "timeout_seconds"): _number(0, 86_400, above=True),
-        (ServiceSettings, "deadline_seconds"): _number(0, 86_400, above=True),
+        (HttpRouteSettings, "timeout_seconds"): _number(0, 86_400, exclusive_low=True),
+        (ServiceSettings, "deadline_seconds"): _number(0, 86_400, exclusive_low=True),
         (TargetSettings, "models"): _names,
         (TargetSettings, "adapters"): _names,
         (CustomerSettings, "home_regions"): _names,
@@ -276,7 +281,7 @@
         (FleetSettings, "scheduler"): _one_of("leased", "independent"),
         (FleetSettings, "target_lease_seconds"): _number(0.1, 60),
         (FleetSettings, "lifted_digests"): _digests(
-            MAX_LIFTED, "the digest of a body, from the status,"
+            MAX_LIFTED_DIGESTS, "the digest of a body, from the status,"
         ),
         (FleetSettings, "silence_seconds"): _number(0.1, 3600),
         (FleetSettings, "balancer_delay_seconds"): _number(0, 600),
@@ -286,21 +291,21 @@
     }
 )
 
-_BY_TYPE: Mapping[Any, Check] = MappingProxyType(
+_CHECKS_BY_TYPE: Mapping[Any, Check] = MappingProxyType(
     {
         bool: _boolean,
         str: _text,
         float: _number(0, MAX_NUMBER),
         int: _integer(0, int(MAX_NUMBER)),
-        float | None: _or_none(_number(0, MAX_NUMBER)),
-        int | None: _or_none(_integer(0, int(MAX_NUMBER))),
+        float | None: _nullable(_number(0, MAX_NUMBER)),
+        int | None: _nullable(_integer(0, int(MAX_NUMBER))),
     }
 )
 
 
 @cache
 def field_checks(kind: type) -> Mapping[str, Check]:
-    """Return the check of each field that operators may set of a data class.
+    """Return the checks of all fields of a data class that operators may set.
 
     Args:
         kind: A data class of ``sesameford/effective.py``.
@@ -309,20 +314,23 @@
         Checks by field name.
     """
     hints = get_type_hints(kind)
-    names = [field.name for field in fields(kind) if field.name not in _name_of(kind)]
+    names = [
+        field.name for field in fields(kind) if field.name not in _name_field_of(kind)
+    ]
     return {
-        name: _NARROWER.get((kind, name)) or _BY_TYPE[hints[name]] for name in names
+        name: _NARROWER_CHECKS.get((kind, name)) or _CHECKS_BY_TYPE[hints[name]]
+        for name in names
     }
 
 
-def _name_of(kind: type) -> frozenset[str]:
-    """Return the field that names entities of a kind, as a set of one or none."""
+def _name_field_of(kind: type) -> frozenset[str]:
+    """Return the field that identifies entities of a kind, as a set of at most one."""
     return frozenset(name for root, name in NAME_FIELDS.items() if ROOTS[root] is kind)
 
 
 @cache
 def field_defaults(kind: type) -> Mapping[str, Any]:
-    """Return the value of each field that no branch sets."""
+    """Return the defaults of fields that no branch sets."""
     defaults = {}
     for field in fields(kind):
         if field.default is not MISSING:
@@ -333,26 +341,26 @@
 
 
 def check_fields(raw: Any, kind: type, path: str) -> dict[str, Any]:
-    """Check the fields of a node or a part of one.
+    """Validate the fields of a node or of a mapping inside it.
 
     Args:
-        raw: What the YAML says.
-        kind: The data class that names the fields.
-        path: Where it stands, for errors.
+        raw: The parsed YAML value.
+        kind: The data class that defines the fields.
+        path: The path of the value, for errors.
 
     Returns:
-        The fields that are set, with numbers in the type of their field.
+        The fields that are set, with numbers converted to the field's type.
 
     Raises:
-        Refused: A field is unknown or its value not allowed.
+        FieldError: A field is unknown or has an invalid value.
     """
     if not isinstance(raw, dict):
-        raise Refused(path, shown(raw), "a mapping of fields")
+        raise FieldError(path, describe_value(raw), "a mapping of fields")
     checks = field_checks(kind)
     checked = {}
     for name, value in raw.items():
         if name not in checks:
-            raise Refused(
+            raise FieldError(
                 f"{path}.{name}", "an unknown field", ", ".join(sorted(checks))
             )
         checked[name] = checks[name](value, f"{path}.{name}")
--- a/sesameford/tree_holder.py
+++ b/sesameford/tree_holder.py
@@ -1,4 +1,4 @@
-"""The shell around an instance's tree: messages out, waits, slices of work."""
+"""The input and output of an instance's tree: messages, waits, scheduled slices."""
 
 import asyncio
 import logging
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TreeHolderDeps:
-    """What the tree needs of its instance.
+    """The callbacks by which the tree uses its instance.
 
     Args:
         send: Sends a message.
         in_force: Called with each effective tree that comes into force.
-        live: Returns the other instances that were heard a short while ago.
-        is_leader: Whether this instance leads the replicated log.
-        now: The present time.
+        live: Returns the other live instances by id.
+        is_leader: Returns whether this instance leads the replicated log.
+        now: Returns the present time in seconds.
     """
 
     send: Callable[[Outgoing], None]
@@ -35,80 +35,95 @@
 
 
 class TreeHolder:
-    """Holds the tree of one instance and tells when a newer one is in force."""
+    """Holds the tree of one instance and reports each newer one in force."""
 
-    def __init__(self, spread: TreeReplication, deps: TreeHolderDeps) -> None:
-        self._spread = spread
+    def __init__(self, replication: TreeReplication, deps: TreeHolderDeps) -> None:
+        self._replication = replication
         self._deps = deps
-        self._risen = asyncio.Event()
-        self._work_is_due = False
+        self._revision_advanced = asyncio.Event()
+        self._is_slice_scheduled = False
 
     @property
     def store(self) -> TreeStore:
-        """Return the declared tree at the highest revision seen."""
-        return self._spread.store
+        """Return the declared tree at the highest revision received."""
+        return self._replication.store
 
     @property
     def revision(self) -> int:
-        """Return the revision that is in force here."""
-        return self._spread.in_force.tree.revision
+        """Return the revision in force at this instance."""
+        return self._replication.in_force.tree.revision
 
     def handle_commit(self, machine: TreeMachine) -> None:
-        """Take over what the replicated log has accepted here."""
+        """Apply the changes that the replicated log has committed here."""
         deps = self._deps
         self._send(
-            self._spread.handle_commit(machine.store, deps.is_leader(), deps.live())
+            self._replication.handle_commit(
+                machine.store, deps.is_leader(), deps.live()
+            )
         )
-        self._work_soon()
+        self._schedule_slice()
 
     def handle_message(self, sender_id: str, message: Message) -> None:
-        """Take a message about the tree from another instance.
+        """Handle a message about the tree from another instance.
 
         Raises:
-            PeerError: It is malformed; nothing of it was used.
+            PeerError: The message is malformed; none of it was applied.
         """
         deps = self._deps
         self._send(
-            self._spread.handle_message(sender_id, message, deps.live(), deps.now())
+            self._replication.handle_message(
+                sender_id, message, deps.live(), deps.now()
+            )
         )
-        self._work_soon()
+        self._schedule_slice()
 
     def tick(self) -> None:
-        """Ask for what is missing here; call it some ten times a second."""
-        self._send(self._spread.collect_requests(self._deps.live(), self._deps.now()))
+        """Request a newer tree if one exists; called about ten times a second."""
+        self._send(
+            self._replication.collect_requests(self._deps.live(), self._deps.now())
+        )
 
     def is_ready(self) -> bool:
-        """Return whether this instance may serve under the tree it has."""
-        return self._spread.is_ready(self._deps.live(), self._deps.now())
+        """Return whether this instance may serve under its present tree."""
+        return self._replication.is_ready(self._deps.live(), self._deps.now())
 
     async def wait_for_revision(self, revision: int, limit_seconds: float) -> bool:
-        """Wait until at least a revision is in force here."""
+        """Wait until a revision or a newer one is in force here.
+
+        Args:
+            revision: The lowest revision to wait for.
+            limit_seconds: The longest time to wait.
+
+        Returns:
+            False if the time limit passed first.
+        """
         try:
             async with asyncio.timeout(limit_seconds):
                 while self.revision < revision:
-                    await self._risen.wait()
+                    await self._revision_advanced.wait()
         except TimeoutError:
             return False
         return True
 
     def _send(self, outgoing: Sequence[Outgoing]) -> None:
-        for one in outgoing:
-            self._deps.send(one)
+        for message in outgoing:
+            self._deps.send(message)
 
-    def _work_soon(self) -> None:
-        """Do a slice of work in the next turn of the loop.
+    def _schedule_slice(self) -> None:
+        """Schedule a slice of work for the next iteration of the event loop.
 
-        Not at once: a replica that starts applies thousands of changes in one turn,
-        and putting each into force for itself would keep it from ever serving.
+        A slice doesn't run immediately because a starting replica applies thousands
+        of changes in one iteration. Bringing each into force separately would keep it
+        from ever serving.
         """
-        if not self._work_is_due and not self._spread.in_force.is_current:
-            self._work_is_due = True
-            asyncio.get_running_loop().call_soon(self._work)
-
-    def _work(self) -> None:
-        """Bring the effective tree up to date by a slice."""
-        self._work_is_due = False
-        in_force = self._spread.in_force
+        if not self._is_slice_scheduled and not self._replication.in_force.is_current:
+            self._is_slice_scheduled = True
+            asyncio.get_running_loop().call_soon(self._run_slice)
+
+    def _run_slice(self) -> None:
+        """Recompute one slice of the effective tree."""
+        self._is_slice_scheduled = False
+        in_force = self._replication.in_force
         if in_force.recompute_slice():
             self._deps.in_force(in_force.tree)
             logger.info(
@@ -120,9 +135,9 @@
                     "tokens_per_second": in_force.tree.fleet.tokens_per_second,
                 },
             )
-            self._risen.set()
-            self._risen = asyncio.Event()
-        self._work_soon()
+            self._revision_advanced.set()
+            self._revision_advanced = asyncio.Event()
+        self._schedule_slice()
 
 
 def make_tree_holder(
@@ -132,9 +147,9 @@
 
     Args:
         instance_id: This instance.
-        data_centre: Where it is.
-        expected_peers: How many other instances its settings name.
-        deps: What it needs of its instance.
+        data_centre: This instance's data centre.
+        expected_peers: The number of other instances in its settings.
+        deps: The callbacks of the instance.
     """
-    spread = TreeReplication(instance_id, data_centre, expected_peers, deps.now())
-    return TreeHolder(spread, deps)
+    replication = TreeReplication(instance_id, data_centre, expected_peers, deps.now())
+    return TreeHolder(replication, deps)
--- a/sesameford/tree_replication.py
+++ b/sesameford/tree_replication.py
@@ -1,9 +1,9 @@
-"""Decides which messages bring accepted changes to every instance.
+"""Replication of accepted tree changes to all instances, without input or output.
 
 The leader of the log pushes each change, as a difference, as soon as it commits.
-Everything else is repaired by pulling: heartbeats tell every instance's revision,
-and one that hears of a higher one asks for what it lacks. So a lost push costs one
-heartbeat, and nothing has to be remembered about any receiver.
+Instances that miss a push pull instead: heartbeats carry each instance's revision,
+and an instance that learns of a higher one requests the steps that it lacks. A lost
+push therefore delays a change by one heartbeat, and no receiver's progress is tracked.
 """
 
 from collections.abc import Mapping, Sequence
@@ -24,24 +24,25 @@
 from sesameford.tree_in_force import TreeInForce
 from sesameford.tree_store import TreeStep, TreeStore
 
-# Up to so many instances the leader pushes to each of them; beyond, to its own
-# data centre and to one instance of each other one, which passes it on to its own.
+# Up to this many instances, the leader pushes to each of them. Beyond, it pushes to
+# its own data centre and to one instance of each other one, which forwards the change
+# within its data centre.
 DIRECT_FANOUT = 16
-ASK_AGAIN_SECONDS = 0.3
-WHOLE_AGAIN_SECONDS = 1.0
-LISTEN_SECONDS = 2.0
+REQUEST_INTERVAL_SECONDS = 0.3
+SNAPSHOT_INTERVAL_SECONDS = 1.0
+STARTUP_LISTEN_SECONDS = 2.0
 DIGEST_BYTES = 16
 
 
 class TreeReplication:
-    """The tree of one instance and its part in the spreading of changes.
+    """The tree of one instance and its part in the replication of changes.
 
     Args:
         instance_id: This instance.
-        data_centre: Where it is.
-        expected_peers: How many other instances there are by the settings.
+        data_centre: This instance's data centre.
+        expected_peers: The number of other instances in the settings.
         now_seconds: The present time.
-        direct_fanout: Up to so many instances each is pushed to directly.
+        direct_fanout: The number of instances up to which the leader pushes to each.
     """
 
     def __init__(
@@ -58,33 +59,33 @@
         self._data_centre = data_centre
         self._expected_peers = expected_peers
         self._direct_fanout = direct_fanout
-        self._listening_until_seconds = now_seconds + LISTEN_SECONDS
+        self._listening_until_seconds = now_seconds + STARTUP_LISTEN_SECONDS
         self._is_ready = False
-        self._asked_at_seconds = -ASK_AGAIN_SECONDS
-        self._asked_count = 0
-        self._needs_whole = False
-        self._whole_sent_at_seconds: dict[str, float] = {}
+        self._requested_at_seconds = -REQUEST_INTERVAL_SECONDS
+        self._request_count = 0
+        self._needs_snapshot = False
+        self._snapshot_sent_at_seconds: dict[str, float] = {}
 
     def handle_commit(
         self, source: TreeStore, is_leader: bool, peers: Mapping[str, InstanceRow]
     ) -> Sequence[Outgoing]:
-        """Take over what the replicated log has accepted here.
+        """Apply the changes that the replicated log has committed here.
 
         Args:
-            source: The log's own tree.
-            is_leader: Whether this instance leads the log and has to push.
+            source: The tree of the log's state machine.
+            is_leader: Whether this instance leads the log and pushes changes.
             peers: The live other instances.
 
         Returns:
             Messages to send.
         """
         steps = source.steps_after(self.store.revision)
-        if steps is None or not self._take_steps(steps):
-            self._take_whole(source.revision, source.copy().nodes, source.digest)
+        if steps is None or not self._apply_steps(steps):
+            self._apply_snapshot(source.revision, source.copy().nodes, source.digest)
             return ()
         if not steps or not is_leader:
             return ()
-        return self._push(steps, self._receivers(peers))
+        return self._make_steps_messages(steps, self._push_receivers(peers))
 
     def handle_message(
         self,
@@ -93,11 +94,11 @@
         peers: Mapping[str, InstanceRow],
         now_seconds: float,
     ) -> Sequence[Outgoing]:
-        """Take a message about the tree.
+        """Handle a message about the tree.
 
         Args:
-            sender_id: Who sent it.
-            message: What it is; other kinds are passed over.
+            sender_id: The instance that sent it.
+            message: The message; other kinds are ignored.
             peers: The live other instances.
             now_seconds: The present time.
 
@@ -105,49 +106,50 @@
             Messages to send.
 
         Raises:
-            PeerError: It is malformed; nothing of it was used.
+            PeerError: The message is malformed; none of it was applied.
         """
         match message:
             case TreeSteps():
-                return self._received_steps(sender_id, message, peers)
+                return self._handle_steps(sender_id, message, peers)
             case TreeSnapshot():
-                self._received_whole(message)
+                self._handle_snapshot(message)
             case TreeRequest():
-                return self._answer(sender_id, message, now_seconds)
+                return self._answer_request(sender_id, message, now_seconds)
         return ()
 
     def collect_requests(
         self, peers: Mapping[str, InstanceRow], now_seconds: float
     ) -> Sequence[Outgoing]:
-        """Return the question that is due where others have a newer tree.
+        """Return the due request for a newer tree, if a peer has one.
 
         Args:
             peers: The live other instances.
             now_seconds: The present time.
         """
-        if now_seconds - self._asked_at_seconds < ASK_AGAIN_SECONDS:
+        if now_seconds - self._requested_at_seconds < REQUEST_INTERVAL_SECONDS:
             return ()
-        newer = [one for one in peers.values() if one.revision > self.store.revision]
+        newer = [peer for peer in peers.values() if peer.revision > self.store.revision]
         if not newer:
-            self._asked_count = 0
+            self._request_count = 0
             return ()
-        # A near one first; another one each time, because the one asked may be
-        # unable to answer, or its answers be lost on a broken link.
-        newer.sort(key=lambda one: (self._is_far(one), one.instance_id))
-        asked = newer[self._asked_count % len(newer)]
-        self._asked_count += 1
-        self._asked_at_seconds = now_seconds
-        wanted = TreeRequest(self.store.revision, self._needs_whole)
-        return [Outgoing(asked.instance_id, wanted, urgent=True)]
+        # Peers of the same data centre come first. Each request goes to the next peer,
+        # because the previous one may be unable to answer, or its answers may be lost
+        # on a broken link.
+        newer.sort(key=lambda peer: (self._is_remote(peer), peer.instance_id))
+        receiver = newer[self._request_count % len(newer)]
+        self._request_count += 1
+        self._requested_at_seconds = now_seconds
+        request = TreeRequest(self.store.revision, self._needs_snapshot)
+        return [Outgoing(receiver.instance_id, request, urgent=True)]
 
     def is_ready(self, peers: Mapping[str, InstanceRow], now_seconds: float) -> bool:
-        """Return whether this instance may serve under the tree it has.
+        """Return whether this instance may serve under its present tree.
 
-        One that starts empty must not let callers in under an old tree, or under
+        An instance that starts empty must not admit callers under an old tree or
         none: a customer whose key was withdrawn would be served again. So it first
-        listens for a while, or until it has heard everybody, and then needs a tree
-        as new as the newest it has heard of. Once ready it stays so: a later change
-        arrives here like anywhere else.
+        listens for a while, or until all expected peers are live, and then needs a
+        tree as new as the newest revision that any live peer reports. Once ready it
+        stays ready, because later changes reach it like any other instance.
 
         Args:
             peers: The live other instances.
@@ -159,116 +161,122 @@
             now_seconds < self._listening_until_seconds
             and len(peers) < self._expected_peers
         )
-        highest = max((one.revision for one in peers.values()), default=0)
+        highest = max((peer.revision for peer in peers.values()), default=0)
         revision = self.in_force.tree.revision
         self._is_ready = not is_listening and 0 < revision >= highest
         return self._is_ready
 
-    # --- taking ---------------------------------------------------------------
+    # --- applying -------------------------------------------------------------
 
-    def _take_steps(self, steps: Sequence[TreeStep]) -> bool:
-        """Go on by steps; False where one does not fit the tree here."""
+    def _apply_steps(self, steps: Sequence[TreeStep]) -> bool:
+        """Apply steps in order; return False if one doesn't fit the tree here."""
         for step in steps:
             if step.revision <= self.store.revision:
                 continue
-            if not self.store.step(step):
+            if not self.store.apply_step(step):
                 return False
             self.in_force.record_step(step.difference)
         return True
 
-    def _take_whole(
+    def _apply_snapshot(
         self, revision: int, nodes: Mapping[str, bytes], digest: int
     ) -> None:
-        """Take a whole tree; the caller has seen that it is newer."""
+        """Replace the tree; the caller has checked that the new one is newer."""
         self.store.replace(revision, nodes, digest)
         self.in_force.record_replacement()
-        self._needs_whole = False
+        self._needs_snapshot = False
 
-    def _received_steps(
+    def _handle_steps(
         self, sender_id: str, message: TreeSteps, peers: Mapping[str, InstanceRow]
     ) -> Sequence[Outgoing]:
-        """Take steps from another instance and pass them on where that is ours."""
-        steps = [_read_step(row) for row in message.steps]
+        """Apply steps from another instance and forward them if this one has to."""
+        steps = [_decode_step(row) for row in message.steps]
         before = self.store.revision
         follows_on = bool(steps) and steps[0].revision <= before + 1
-        if follows_on and not self._take_steps(steps):
-            # The tree here is not what the sender had at this revision: a fault on
-            # one of the two sides. No step can mend that, the whole tree does.
-            self._needs_whole = True
+        if follows_on and not self._apply_steps(steps):
+            # The tree here differs from the sender's at the same revision, by a fault
+            # on either side. Steps can't repair this; the whole tree can.
+            self._needs_snapshot = True
         sender = peers.get(sender_id)
         if (
             sender is None
-            or not self._is_far(sender)
+            or not self._is_remote(sender)
             or len(peers) < self._direct_fanout
         ):
             return ()
-        near = [one.instance_id for one in peers.values() if not self._is_far(one)]
-        return self._push(self.store.steps_after(before) or (), near)
+        local_ids = [
+            peer.instance_id for peer in peers.values() if not self._is_remote(peer)
+        ]
+        return self._make_steps_messages(
+            self.store.steps_after(before) or (), local_ids
+        )
 
-    def _received_whole(self, message: TreeSnapshot) -> None:
-        """Check a whole tree and take it, unless it is from the past."""
+    def _handle_snapshot(self, message: TreeSnapshot) -> None:
+        """Validate a snapshot and apply it if it is newer than the tree here."""
         if message.revision <= self.store.revision:
             return
         _check_nodes(message.nodes)
         digest = int.from_bytes(message.digest, "big")
         if tree_digest(message.nodes) != digest:
-            raise PeerError("a whole tree does not fit its digest")
-        self._take_whole(message.revision, message.nodes, digest)
+            raise PeerError("a tree snapshot doesn't match its digest")
+        self._apply_snapshot(message.revision, message.nodes, digest)
 
     # --- sending --------------------------------------------------------------
 
-    def _is_far(self, instance: InstanceRow) -> bool:
+    def _is_remote(self, instance: InstanceRow) -> bool:
         return instance.data_centre != self._data_centre
 
-    def _receivers(self, peers: Mapping[str, InstanceRow]) -> list[str]:
-        """Return whom the leader pushes to."""
+    def _push_receivers(self, peers: Mapping[str, InstanceRow]) -> list[str]:
+        """Return the ids of the instances that the leader pushes to."""
         if len(peers) < self._direct_fanout:
             return sorted(peers)
-        chosen: dict[str, str] = {}
-        near = []
-        for one in sorted(peers.values(), key=lambda one: one.instance_id):
-            if self._is_far(one):
-                chosen.setdefault(one.data_centre, one.instance_id)
+        forwarders: dict[str, str] = {}
+        local_ids = []
+        for peer in sorted(peers.values(), key=lambda peer: peer.instance_id):
+            if self._is_remote(peer):
+                forwarders.setdefault(peer.data_centre, peer.instance_id)
             else:
-                near.append(one.instance_id)
-        return [*near, *chosen.values()]
+                local_ids.append(peer.instance_id)
+        return [*local_ids, *forwarders.values()]
 
-    def _push(
+    def _make_steps_messages(
         self, steps: Sequence[TreeStep], receivers: Sequence[str]
     ) -> Sequence[Outgoing]:
-        """Return messages that bring steps to receivers."""
+        """Return messages that send steps to receivers."""
         if not steps:
             return ()
         message = TreeSteps(tuple(_step_row(step) for step in steps))
-        return [Outgoing(one, message, urgent=True) for one in receivers]
+        return [
+            Outgoing(receiver_id, message, urgent=True) for receiver_id in receivers
+        ]
 
-    def _answer(
-        self, sender_id: str, wanted: TreeRequest, now_seconds: float
+    def _answer_request(
+        self, sender_id: str, request: TreeRequest, now_seconds: float
     ) -> Sequence[Outgoing]:
-        """Answer one who is behind, by steps if they are kept."""
-        if wanted.revision >= self.store.revision:
+        """Answer an instance that is behind: with steps if stored, else a snapshot."""
+        if request.revision >= self.store.revision:
             return ()
-        steps = None if wanted.whole else self.store.steps_after(wanted.revision)
+        steps = None if request.whole else self.store.steps_after(request.revision)
         if steps is not None:
-            return self._push(steps, [sender_id])
-        # A whole tree is megabytes at the target size. One who asks again before
-        # the first answer can have arrived, or whose question came twice, would
-        # otherwise get it several times over.
-        sent_at_seconds = self._whole_sent_at_seconds.get(sender_id)
+            return self._make_steps_messages(steps, [sender_id])
+        # A snapshot is megabytes at the target size. An instance that repeats its
+        # request before the first answer can have arrived, or whose request arrived
+        # twice, would otherwise get several.
+        sent_at_seconds = self._snapshot_sent_at_seconds.get(sender_id)
         if (
             sent_at_seconds is not None
-            and now_seconds - sent_at_seconds < WHOLE_AGAIN_SECONDS
+            and now_seconds - sent_at_seconds < SNAPSHOT_INTERVAL_SECONDS
         ):
             return ()
-        self._whole_sent_at_seconds[sender_id] = now_seconds
+        self._snapshot_sent_at_seconds[sender_id] = now_seconds
         store = self.store
         digest = store.digest.to_bytes(DIGEST_BYTES, "big")
-        whole = TreeSnapshot(store.revision, dict(store.declared.nodes), digest)
-        return [Outgoing(sender_id, whole, urgent=True)]
+        snapshot = TreeSnapshot(store.revision, dict(store.declared.nodes), digest)
+        return [Outgoing(sender_id, snapshot, urgent=True)]
 
 
 def _step_row(step: TreeStep) -> TreeStepRow:
-    """Return a step as messages carry it."""
+    """Return a step as a row of a message."""
     return TreeStepRow(
         step.revision,
         dict(step.difference.put),
@@ -277,11 +285,11 @@
     )
 
 
-def _read_step(row: TreeStepRow) -> TreeStep:
-    """Return a step from a message.
+def _decode_step(row: TreeStepRow) -> TreeStep:
+    """Return the step of a row from a message.
 
     Raises:
-        PeerError: One of its nodes is none.
+        PeerError: A node can't be decoded.
     """
     _check_nodes(row.put)
     difference = TreeDifference(row.put, row.removed)
@@ -289,7 +297,7 @@
 
 
 def _check_nodes(nodes: Mapping[str, bytes]) -> None:
-    """Refuse nodes that can't be read, before any is used."""
+    """Reject nodes that can't be decoded, before any is applied."""
     try:
         for encoded in nodes.values():
             read_node(encoded)
--- a/sesameford/tree_store.py
+++ b/sesameford/tree_store.py
@@ -1,4 +1,4 @@
-"""The declared tree held by an instance: its revision, nodes and latest changes."""
+"""The declared tree at an instance: its revision, nodes and latest steps."""
 
 from collections import deque
 from collections.abc import Mapping, Sequence
@@ -10,20 +10,20 @@
     updated_digest,
 )
 
-KEPT_STEPS = 1000
-KEPT_STEPS_BYTES = 1_000_000
+MAX_STORED_STEPS = 1000
+MAX_STORED_STEPS_BYTES = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class TreeStep:
-    """The difference that made a revision out of the one before it."""
+    """The difference from one revision to the next, and the next one's digest."""
 
     revision: int
     difference: TreeDifference
     digest: int
 
-    def size_bytes(self) -> int:
-        """Return about how much room the step takes."""
+    def estimated_size_bytes(self) -> int:
+        """Return the approximate memory use of the step."""
         put = self.difference.put
         return (
             sum(len(path) + len(encoded) + 64 for path, encoded in put.items())
@@ -33,10 +33,10 @@
 
 
 class TreeStore:
-    """The tree at the highest revision seen, and the steps that led there.
+    """The tree at the highest revision received, and the latest steps to it.
 
-    The nodes are changed in place, so that a change costs what it touches and not
-    what the tree holds; ``declared`` is a view of them.
+    Nodes are changed in place, so that the cost of a change depends on the nodes that
+    it changes and not on the size of the tree; ``declared`` is a view of them.
     """
 
     def __init__(self) -> None:
@@ -48,47 +48,47 @@
 
     @property
     def declared(self) -> DeclaredTree:
-        """The present tree; it changes with the store."""
+        """A view of the present tree; it changes with the store."""
         return DeclaredTree(self._nodes)
 
     def copy(self) -> DeclaredTree:
-        """Return the present tree as it is now."""
+        """Return a copy of the present tree."""
         return DeclaredTree(dict(self._nodes))
 
-    def would_be(self, difference: TreeDifference) -> int:
-        """Return the digest that the tree would have after a difference."""
+    def digest_after(self, difference: TreeDifference) -> int:
+        """Return the digest of the tree after a difference, without applying it."""
         return updated_digest(self.digest, self._nodes, difference)
 
-    def step(self, step: TreeStep) -> bool:
-        """Go one revision on.
+    def apply_step(self, step: TreeStep) -> bool:
+        """Advance the tree by one revision.
 
         Args:
             step: The next revision's difference and digest.
 
         Returns:
-            False, with nothing changed, when the step does not lead on from here.
+            False, with nothing changed, if the step doesn't fit the present tree.
         """
         if step.revision != self.revision + 1:
             return False
-        # Two trees at one revision would never be told apart again, since every
-        # later difference fits both. The digest shows it before anything is used.
-        if self.would_be(step.difference) != step.digest:
+        # If two trees differed at one revision, no later difference would reveal it,
+        # since each fits both. The digest detects this before the step is applied.
+        if self.digest_after(step.difference) != step.digest:
             return False
         for path in step.difference.removed:
             self._nodes.pop(path, None)
         self._nodes.update(step.difference.put)
         self.revision = step.revision
         self.digest = step.digest
-        self._keep(step)
+        self._store_step(step)
         return True
 
     def replace(self, revision: int, nodes: Mapping[str, bytes], digest: int) -> None:
-        """Take a whole tree; the steps that led to the former one are dropped.
+        """Replace the tree and drop the stored steps.
 
         Args:
-            revision: Its revision.
-            nodes: Its nodes.
-            digest: Their digest.
+            revision: The new tree's revision.
+            nodes: The new tree's nodes.
+            digest: The digest of these nodes.
         """
         self._nodes = dict(nodes)
         self._steps.clear()
@@ -100,11 +100,11 @@
         """Return the steps from a revision to the present one.
 
         Args:
-            revision: That of another instance.
+            revision: The revision of another instance.
 
         Returns:
-            Steps in their order, none where the other is as new, or None where
-            the steps are not kept any more and the whole tree has to be sent.
+            Steps in order, empty if the other instance is up to date; None if the
+            steps are no longer stored and the whole tree has to be sent.
         """
         if revision >= self.revision:
             return ()
@@ -113,9 +113,12 @@
         first = revision + 1 - self._steps[0].revision
         return [self._steps[position] for position in range(first, len(self._steps))]
 
-    def _keep(self, step: TreeStep) -> None:
-        """Keep a step for instances that are behind, within the bounds."""
+    def _store_step(self, step: TreeStep) -> None:
+        """Store a step for instances that are behind, dropping the oldest."""
         self._steps.append(step)
-        self._steps_bytes += step.size_bytes()
-        while len(self._steps) > KEPT_STEPS or self._steps_bytes > KEPT_STEPS_BYTES:
-            self._steps_bytes -= self._steps.popleft().size_bytes()
+        self._steps_bytes += step.estimated_size_bytes()
+        while (
+            len(self._steps) > MAX_STORED_STEPS
+            or self._steps_bytes > MAX_STORED_STEPS_BYTES
+        ):
+            self._steps_bytes -= self._steps.popleft().estimated_size_bytes()
--- a/tests/test_tree_fuzz.py
+++ b/tests/test_tree_fuzz.py
@@ -26,8 +26,8 @@
     make_tree_change,
 )
 from sesameford.tree_replication import (
-    ASK_AGAIN_SECONDS,
-    WHOLE_AGAIN_SECONDS,
+    REQUEST_INTERVAL_SECONDS,
+    SNAPSHOT_INTERVAL_SECONDS,
     TreeReplication,
 )
 
@@ -200,7 +200,7 @@
                 sender, 1, PLACES[sender], InstanceState.READY, revision, self.now
             )
 
-    @rule(one=ids, seconds=st.sampled_from([0.05, ASK_AGAIN_SECONDS]))
+    @rule(one=ids, seconds=st.sampled_from([0.05, REQUEST_INTERVAL_SECONDS]))
     def tick(self, one, seconds):
         self.now += seconds
         self._put(one, self.spreads[one].collect_requests(self.heard[one], self.now))
@@ -237,12 +237,12 @@
     @rule()
     def quiet_round(self):
         """For a while nothing is lost and everybody has time."""
-        self.now += WHOLE_AGAIN_SECONDS
+        self.now += SNAPSHOT_INTERVAL_SECONDS
         for one in PLACES:
             for other in PLACES:
                 self.beat(one, other)
         for one in PLACES:
-            self.tick(one, ASK_AGAIN_SECONDS)
+            self.tick(one, REQUEST_INTERVAL_SECONDS)
         while self.bag:
             self._deliver(*self.bag.pop())
         for spread in self.spreads.values():
@@ -285,7 +285,7 @@
         for spread in self.spreads.values():
             assert spread.store.revision == len(self.accepted) - 1
             is_ready = spread.is_ready(
-                self.heard[next(iter(PLACES))], self.now + WHOLE_AGAIN_SECONDS
+                self.heard[next(iter(PLACES))], self.now + SNAPSHOT_INTERVAL_SECONDS
             )
             assert is_ready or len(self.accepted) == 1
 
--- a/tests/test_tree_replication.py
+++ b/tests/test_tree_replication.py
@@ -11,8 +11,8 @@
     parse_tree,
     tree_digest,
 )
-from sesameford.tree_replication import LISTEN_SECONDS, TreeReplication
-from sesameford.tree_store import KEPT_STEPS, TreeStep
+from sesameford.tree_replication import STARTUP_LISTEN_SECONDS, TreeReplication
+from sesameford.tree_store import MAX_STORED_STEPS, TreeStep
 
 NODES = dict(parse_tree("customers: {children: {a: {}}}", "t").nodes)
 DIGEST = tree_digest(NODES).to_bytes(16, "big")
@@ -33,9 +33,9 @@
         text = f"customers: {{children: {{a: {{share: {number + 1}}}}}}}"
         put = dict(parse_tree(text, "t").nodes)
         difference = TreeDifference(put, ())
-        digest = spread.store.would_be(difference)
+        digest = spread.store.digest_after(difference)
         step = TreeStep(spread.store.revision + 1, difference, digest)
-        assert spread.store.step(step)
+        assert spread.store.apply_step(step)
         steps.append(TreeStepRow(step.revision, put, (), digest.to_bytes(16, "big")))
     return steps
 
@@ -43,8 +43,8 @@
 def declare(spread, text):
     """Take a declared tree as the next step."""
     changed = difference(spread.store.declared, parse_tree(text, "t"))
-    digest = spread.store.would_be(changed)
-    assert spread.store.step(TreeStep(spread.store.revision + 1, changed, digest))
+    digest = spread.store.digest_after(changed)
+    assert spread.store.apply_step(TreeStep(spread.store.revision + 1, changed, digest))
     spread.in_force.record_step(changed)
 
 
@@ -88,8 +88,8 @@
     the link that is just coming back.
     """
     spread = make_spread()
-    commit_steps(spread, KEPT_STEPS + 5)
-    near = spread.handle_message("e2", TreeRequest(KEPT_STEPS), {}, 0.0)
+    commit_steps(spread, MAX_STORED_STEPS + 5)
+    near = spread.handle_message("e2", TreeRequest(MAX_STORED_STEPS), {}, 0.0)
     assert [row.revision for row in near[0].message.steps] == [
         1001,
         1002,
@@ -101,7 +101,7 @@
         spread.handle_message("e3", TreeRequest(2), {}, now) for now in (0.0, 0.5, 1.0)
     ]
     assert [len(sent) for sent in far] == [1, 0, 1]
-    assert far[0][0].message.revision == KEPT_STEPS + 5
+    assert far[0][0].message.revision == MAX_STORED_STEPS + 5
 
 
 def test_an_empty_instance_is_not_ready_before_it_has_the_newest_tree():
@@ -130,9 +130,9 @@
     empty, replica = make_spread(), make_spread("e2")
     replica.handle_message("e3", TreeSnapshot(4, NODES, DIGEST), {}, 0.0)
     replica.in_force.recompute_slice()
-    assert not replica.is_ready({}, LISTEN_SECONDS / 2)
-    assert replica.is_ready({}, LISTEN_SECONDS)
-    assert not empty.is_ready({}, LISTEN_SECONDS)
+    assert not replica.is_ready({}, STARTUP_LISTEN_SECONDS / 2)
+    assert replica.is_ready({}, STARTUP_LISTEN_SECONDS)
+    assert not empty.is_ready({}, STARTUP_LISTEN_SECONDS)
 
 
 def test_beyond_the_fanout_one_of_each_data_centre_passes_changes_on():
