--- a/sesameford/effective.py
+++ b/sesameford/effective.py
@@ -1,4 +1,4 @@
-"""The settings in force: the declared tree with inheritance worked out."""
+"""The settings in force: the declared tree with inheritance resolved."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerSettings:
-    """A customer: a leaf under ``customers``, named by its path.
+    """A customer: a leaf under ``customers``, identified by its path.
 
-    Its calls to routes go to targets in its ``home_regions`` alone; none of them
-    stands for all regions.
+    Its calls to routes go only to targets in its ``home_regions``; if empty, to
+    targets in all regions.
     """
 
     customer_id: str
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelSettings:
-    """A model and the cost units of what it does."""
+    """A model and its costs in cost units for each token."""
 
     model: str
     prompt_token_cost_units: float = 0.1
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteSettings:
-    """Whether calls to a part of a service may be repeated."""
+    """Whether calls to a part of a service's paths may be repeated."""
 
     method: str
     path_prefix: str
@@ -58,13 +58,14 @@
 class ServiceSettings:
     """A service and the cost units of a second of its time.
 
-    ``connection_limit`` is how many connections one of its targets takes from all
-    callers together. An engine's ``batch_slots`` and ``cache_tokens`` say what one
-    target works on at once and remembers; both are null for a plain service.
-    ``cache_copy_tokens_per_second`` is how fast an engine copies from another what
-    that one remembers of a prompt; null where it can't. For ``cold_start_seconds``
-    after its start a target takes ``cold_requests_per_second`` from the whole fleet;
-    null where it takes as much as later.
+    ``connection_limit`` is the number of connections that one of its targets accepts
+    from all callers together. For an engine, ``batch_slots`` is the number of requests
+    that one target processes at once and ``cache_tokens`` the size of its prompt
+    cache; both are null for a plain service. ``cache_copy_tokens_per_second`` is the
+    rate at which an engine copies cached prompts from another; null if it can't. For
+    ``cold_start_seconds`` after its start a target accepts
+    ``cold_requests_per_second`` from the whole fleet; null means no lower rate than
+    later.
     """
 
     service: str
@@ -82,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendSettings:
-    """One service behind a route and its part of the route's requests."""
+    """A service behind a route and its weight in the route's traffic split."""
 
     service: str
     weight: float
@@ -90,15 +91,15 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpRouteSettings:
-    """A leaf under ``routes``: where requests of a host and path prefix go.
-
-    ``repeatable`` requests may run more than once; a ``resumable`` stream may go on
-    at another target. ``attempts`` bounds the targets that one request is sent to.
-    ``objective_seconds`` is the time to the answer, or to a stream's first event, and
-    ``pause_objective_seconds`` the longest pause between events, that callers expect.
-    ``rank`` 0 is the most urgent. ``prefix_affinity`` says that requests name the
-    parts of their prompts. A ``public`` route asks for no customer's key. Its calls go
-    to targets in its ``home_regions`` alone; none of them stands for all regions.
+    """A leaf under ``routes``: the backends for requests of a host and path prefix.
+
+    ``repeatable`` requests may run more than once; a ``resumable`` stream may continue
+    at another target. ``attempts`` limits the targets that one request is sent to.
+    Callers expect the answer, or a stream's first event, within ``objective_seconds``
+    and pauses between events of at most ``pause_objective_seconds``. ``rank`` 0 is the
+    most urgent. With ``prefix_affinity``, requests name the parts of their prompts. A
+    ``public`` route requires no customer key. Its calls go only to targets in its
+    ``home_regions``; if empty, to targets in all regions.
     """
 
     route_id: str
@@ -120,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceSettings:
-    """What operators declare of one instance."""
+    """Settings that operators declare for one instance."""
 
     instance_id: str
     drain: bool = False
@@ -129,12 +130,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetSettings:
-    """What operators declare of one target.
+    """Settings that operators declare for one target.
 
-    ``models`` and ``adapters`` are what an engine is to have loaded; an engine whose
-    ``models`` are empty is left as it is. ``version`` and ``role`` are ordered where
-    they are given. A model is unloaded after its last running request, at the latest
-    after ``unload_deadline_seconds`` where that is given.
+    ``models`` and ``adapters`` are the ones that an engine should have loaded; an
+    engine with empty ``models`` is left unchanged. An engine is ordered to
+    switch to ``version`` and ``role`` if they are set. A model is unloaded after its last
+    running request, but no later than ``unload_deadline_seconds`` if that is set.
     """
 
     target_id: str
@@ -148,9 +149,9 @@
 
 @dataclass(frozen=True, slots=True)
 class DataCentreSettings:
-    """What operators declare of one data centre.
+    """Settings that operators declare for one data centre.
 
-    The targets of an ``evacuated`` one get no new work.
+    Targets in an ``evacuated`` data centre get no new work.
     """
 
     data_centre: str
@@ -182,7 +183,7 @@
 class EffectiveTree:
     """All settings in force at one revision.
 
-    ``customer_ids_by_digest`` tells to whom a key belongs.
+    ``customer_ids_by_digest`` maps the digest of a key to its customer.
     """
 
     revision: int = 0
@@ -200,13 +201,13 @@
     def evacuated_data_centres(self) -> frozenset[str]:
         """Return the data centres whose targets get no new work."""
         return frozenset(
-            one.data_centre for one in self.data_centres.values() if one.evacuated
+            each.data_centre for each in self.data_centres.values() if each.evacuated
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Origin:
-    """An effective value and the branch that it comes from."""
+    """An effective value and the branch that sets it."""
 
     value: object
     branch: str
--- a/sesameford/settings.py
+++ b/sesameford/settings.py
@@ -1,7 +1,7 @@
-"""The daemon's settings file, checked into frozen data classes.
+"""The daemon's settings file, validated into frozen data classes.
 
-Only what a process can't learn from the tree stands here: who it is, where it
-listens, who its peers are, its data folder and its keys.
+The file holds only what a process can't learn from the tree: its identity, listening
+addresses, peers, data folder and keys.
 """
 
 import re
@@ -16,7 +16,7 @@
 
 
 class Listen(Struct, frozen=True, forbid_unknown_fields=True):
-    """The addresses that the daemon listens on, by IP number."""
+    """The ``IP:port`` addresses that the daemon listens on."""
 
     callers: str
     operators: str
@@ -24,9 +24,9 @@
 
 
 class Peer(Struct, frozen=True, forbid_unknown_fields=True):
-    """Another instance of the system that this one has a link to.
+    """Another instance that this one has a link to.
 
-    ``has_disk`` says that it is a replica, ``is_hub`` that it passes on for its
+    ``has_disk`` marks a replica, ``is_hub`` an instance that forwards messages for its
     data centre.
     """
 
@@ -38,7 +38,7 @@
 
 
 class Tls(Struct, frozen=True, forbid_unknown_fields=True):
-    """Files of the deployment's own authority and this instance's identity."""
+    """Files of the deployment's certificate authority and this instance's identity."""
 
     authority_file: str
     certificate_file: str
@@ -46,14 +46,14 @@
 
 
 class Logging(Struct, frozen=True, forbid_unknown_fields=True):
-    """How log records are written."""
+    """The level and format of log records."""
 
     level: Literal["DEBUG", "INFO", "WARNING", "ERROR"] = "INFO"
     format: Literal["json", "text"] = "json"
 
 
 class Tracing(Struct, frozen=True, forbid_unknown_fields=True):
-    """Where spans go: a file of JSON lines, an OTLP address, or nowhere."""
+    """The export of spans: to a file of JSON lines, to an OTLP URL, or disabled."""
 
     file: str | None = None
     otlp_url: str | None = None
@@ -67,10 +67,10 @@
 
 
 class RetryBudgetSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """What second sendings may cost one service over the whole fleet.
+    """The limit on retries for one service over the whole fleet.
 
-    In any window they may be ``fraction`` of the requests for the service, and
-    ``spare_requests`` more.
+    In any window of ``window_seconds``, retries may be ``fraction`` of the service's
+    requests, plus ``spare_requests``.
     """
 
     fraction: float = 0.1
@@ -79,9 +79,9 @@
 
 
 class ColdBoundSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """What a target that has just started may be sent in a second by the whole fleet.
+    """The limit on requests per second from the whole fleet to a cold target.
 
-    ``factor`` times the rate that its service declares, and ``spare_requests`` more.
+    It is ``factor`` times the rate that the service declares, plus ``spare_requests``.
     """
 
     factor: float = 1.0
@@ -91,10 +91,10 @@
 class DaemonSettings(Struct, frozen=True, forbid_unknown_fields=True):
     """All settings of one daemon.
 
-    ``seeds`` are addresses for links of a few instances with disks, by which all
-    others are found where ``peers`` names none. ``founds`` says that the deployment
-    starts for the first time, so that the seeds may found its log. ``regions`` names
-    the region of each data centre of the deployment.
+    ``seeds`` are the link addresses of a few instances with disks, used to discover
+    all others if ``peers`` is empty. ``founds`` states that the deployment starts for
+    the first time, so that the seeds may found its log. ``regions`` maps each data
+    centre of the deployment to its region.
     """
 
     instance_id: str
@@ -124,22 +124,22 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return host and port of an ``IP:port`` address."""
+    """Return the host and port of an ``IP:port`` address."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
 
 
 def load_settings(file: Path) -> DaemonSettings:
-    """Read and check a daemon's settings file.
+    """Read and validate a daemon's settings file.
 
     Args:
         file: A YAML file.
 
     Returns:
-        The checked settings.
+        The validated settings.
 
     Raises:
-        SettingsError: The file can't be read or says something not allowed.
+        SettingsError: The file can't be read or its content is invalid.
     """
     try:
         text = file.read_text(encoding="utf-8")
@@ -151,18 +151,18 @@
 
 
 def parse_settings(text: str, source: str) -> DaemonSettings:
-    """Check the text of a settings file.
+    """Parse and validate the text of a settings file.
 
     Args:
         text: YAML.
-        source: The name to give in errors.
+        source: The name of the text in errors.
 
     Returns:
-        The checked settings.
+        The validated settings.
 
     Raises:
-        SettingsError: It names the path of the field, what was found and what
-            is allowed.
+        SettingsError: The text is invalid. The error names the path of the field, the
+            value found and the values allowed.
     """
     try:
         raw = load_yaml(text)
@@ -181,7 +181,7 @@
 
 
 def _check_addresses(settings: DaemonSettings, source: str) -> None:
-    """Refuse addresses that are not an IP number and a port."""
+    """Reject malformed addresses and duplicate instance ids."""
     addresses = {
         "listen.callers": settings.listen.callers,
         "listen.operators": settings.listen.operators,
