--- a/sesameford/effective.py
+++ b/sesameford/effective.py
@@ -133,9 +133,9 @@
     """Settings that operators declare for one target.
 
     ``models`` and ``adapters`` are the ones that an engine should have loaded; an
-    engine with empty ``models`` is left unchanged. An engine is ordered to
-    switch to ``version`` and ``role`` if they are set. A model is unloaded after its last
-    running request, but no later than ``unload_deadline_seconds`` if that is set.
+    engine with empty ``models`` is left unchanged. An engine is ordered to switch to
+    ``version`` and ``role`` if they are set. A model is unloaded after its last running
+    request, but no later than ``unload_deadline_seconds`` if that is set.
     """
 
     target_id: str
