--- a/sesameford/tree_in_force.py
+++ b/sesameford/tree_in_force.py
@@ -102,13 +102,13 @@
             return
         if root not in self._pending_entities:
             self._pending_entities[root] = dict(getattr(self.tree, root))
-        working = self._pending_entities[root]
-        former = working.pop(name, None)
+        pending = self._pending_entities[root]
+        former = pending.pop(name, None)
         entity = None
         if path in nodes and read_node(nodes[path]).is_leaf:
             entity = inheritance.entity(path)
             # Uses the entity's own string as the key, so that it isn't stored twice.
-            working[getattr(entity, NAME_FIELDS[root])] = entity
+            pending[getattr(entity, NAME_FIELDS[root])] = entity
         if root == "customers":
             self._recompute_digests(former, entity)
 
--- a/tests/test_declarations.py
+++ b/tests/test_declarations.py
@@ -1,4 +1,4 @@
-"""Whole declarations under the declarer's own version, beside changes of the tree."""
+"""Full declarations under the declarer's own version, combined with tree changes."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -61,9 +61,9 @@
 
 
 def test_an_older_version_is_acknowledged_and_changes_nothing():
-    """An operator's change was held up on its way and arrives after a newer one.
+    """A declaration is delayed and arrives after a newer one.
 
-    In force it would undo the newer change without anybody's wish.
+    Applying it would undo the newer declaration.
     """
     machine = make_machine()
     apply(machine, declaration(9, ("b",)))
@@ -72,8 +72,8 @@
     assert customers_of(machine) == {"b"}
 
 
-def test_other_content_under_the_version_held_changes_nothing():
-    """Two operators choose the same number; the second must not be obeyed."""
+def test_other_content_under_the_present_version_changes_nothing():
+    """Two declarers choose the same version; the second must have no effect."""
     machine = make_machine()
     apply(machine, declaration(5, ("a",)))
     assert apply(machine, declaration(5, ("b",), b"other")).status == UNCHANGED
@@ -81,8 +81,8 @@
     assert machine.declared_text == b"text 5"
 
 
-def test_a_version_that_changes_no_field_counts_all_the_same():
-    """A newer version says the same; an older one must not come after it."""
+def test_a_version_that_changes_no_field_is_still_recorded():
+    """A newer version has the same content; an older one must not apply after it."""
     machine = make_machine()
     apply(machine, declaration(5, ("a",)))
     assert apply(machine, declaration(7, ("a",))).status == ACCEPTED
@@ -91,7 +91,7 @@
     assert machine.declared_text == b"text 7"
 
 
-def test_a_declaration_leaves_what_others_set():
+def test_a_declaration_preserves_roots_that_it_does_not_declare():
     machine = make_machine()
     change = first_change(machine, "targets: {children: {t: {drain: true}}}")
     assert apply(machine, change).status == ACCEPTED
@@ -101,7 +101,7 @@
     assert set(tree.customers) == {"a"}
 
 
-def test_fields_of_the_fleet_are_put_beside_the_others():
+def test_fleet_fields_are_merged_with_existing_ones():
     machine = make_machine()
     apply(machine, declaration(1, fleet="fleet: {silence_seconds: 3}"))
     apply(machine, declaration(2, fleet="fleet: {body_limit_bytes: 7}"))
@@ -116,14 +116,14 @@
     assert apply(machine, change).status == CONFLICT
 
 
-def test_reading_tells_the_newest_version():
+def test_the_version_query_returns_the_newest_version():
     machine = make_machine()
     assert apply(machine, DeclaredVersionQuery()).version == 0
     apply(machine, declaration(4))
     assert apply(machine, DeclaredVersionQuery()).version == 4
 
 
-def test_bytes_that_are_no_command_are_refused():
+def test_malformed_commands_are_refused():
     machine = make_machine()
     assert decode_answer(machine.apply(1, b"\x81\xa4type")).status == REFUSED
 
@@ -131,7 +131,7 @@
 class Declarations(RuleBasedStateMachine):
     """Operators race, resend and send old versions; replicas restart from snapshots.
 
-    The oracle keeps the highest version and its content.
+    The model holds the highest version and its content.
     """
 
     def __init__(self):
@@ -142,8 +142,8 @@
 
     @rule(version=st.integers(1, 12), names=st.sampled_from(["a", "b", "ab", "abc"]))
     def declare(self, version, names):
-        wanted = declaration(version, tuple(names), f"{version} {names}".encode())
-        answers = {apply(machine, wanted) for machine in self.machines}
+        declared = declaration(version, tuple(names), f"{version} {names}".encode())
+        answers = {apply(machine, declared) for machine in self.machines}
         assert len(answers) == 1
         if version > self.highest:
             self.highest, self.content = version, names
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The examples are valid and as large as the deployments that they show."""
+"""The examples are valid and have the size of the deployments that they show."""
 
 import re
 from hashlib import sha256
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("name", ["desk", "consortium"])
-def test_the_keys_are_those_that_the_page_documents(name):
+def test_customer_keys_match_their_documentation(name):
     for customer_id, customer in read_tree(name).customers.items():
         last = customer_id.rpartition("/")[2]
         key = f"demo-{last}" if name == "desk" else f"demo-{customer_id}"
@@ -55,7 +55,7 @@
     assert 1 + sum(peer.has_disk for peer in settings.peers) == disks
 
 
-def test_rivals_have_the_same_share_in_all():
+def test_consortium_members_have_equal_total_shares():
     shares = {}
     for customer_id, customer in read_tree("consortium").customers.items():
         member = customer_id.partition("/")[0]
@@ -64,7 +64,7 @@
     assert len(set(shares.values())) == 1
 
 
-def test_the_settings_page_tells_of_every_field():
+def test_the_settings_page_documents_every_field():
     page = (EXAMPLES.parent / "docs" / "SETTINGS.md").read_text(encoding="utf-8")
     names = {name for kind in ROOTS.values() for name in field_checks(kind)}
     names |= {*field_checks(LimitSettings), *field_checks(RouteSettings)}
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""A settings file that is wrong is refused with file, field, found and allowed."""
+"""Invalid settings files are rejected with file, field, found and allowed values."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 """
 
 
-def test_good_settings_are_taken():
+def test_valid_settings_are_accepted():
     settings = parse_settings(GOOD, "e1.yaml")
     assert settings.instance_id == "e1"
     assert settings.logging.format == "json"
@@ -30,7 +30,7 @@
         ("3", "(top)"),
     ],
 )
-def test_bad_settings_name_the_field(text, path):
+def test_an_error_names_the_invalid_field(text, path):
     with pytest.raises(SettingsError) as caught:
         parse_settings(text, "e1.yaml")
     assert caught.value.source == "e1.yaml"
--- a/tests/test_tree.py
+++ b/tests/test_tree.py
@@ -1,4 +1,4 @@
-"""Declared trees are checked whole, inherit by branch and compare by node."""
+"""Parsing, inheritance, differences and rendering of declared trees."""
 
 import pytest
 from hypothesis import example, given, settings
@@ -119,7 +119,7 @@
     assert caught.value.allowed
 
 
-def test_names_are_texts_however_they_are_written():
+def test_names_are_always_strings():
     text = "customers: {children: {8: {}, no: {}, 1e3: {}, null: {}, 2020-01-01: {}}}"
     names = set(effective_tree(parse_tree(text, "t"), 1).customers)
     assert names == {"8", "no", "1e3", "null", "2020-01-01"}
@@ -133,7 +133,7 @@
         assert names == set(kind.__dataclass_fields__)
 
 
-def test_a_difference_lists_fields():
+def test_a_rendered_difference_lists_fields():
     old = parse_tree(GOOD, "t")
     new = parse_tree(GOOD.replace("share: 1.5", "share: 3"), "t")
     assert difference(old, old).is_empty()
--- a/tests/test_tree_fuzz.py
+++ b/tests/test_tree_fuzz.py
@@ -1,7 +1,7 @@
-"""Racing operators and a lossy spread of the tree, against a plain list of trees.
+"""Fuzzes tree changes and replication against a model: a list of accepted trees.
 
-The log is taken as agreed: a list of commands that replicas apply at their own
-pace. Instances exchange real messages through a bag that loses, doubles and
+The log is assumed to agree: a list of commands that replicas apply at different
+times. Instances exchange real messages through a network that loses, duplicates and
 reorders them.
 """
 
@@ -47,10 +47,10 @@
 )
 TREES = tuple(parse_tree(text, "t") for text in TEXTS)
 EMPTY = parse_tree("{}", "t")
-PLACES = {"e0": "a", "e1": "b", "e2": "a", "e3": "b", "e4": "b"}
+DATA_CENTRES = {"e0": "a", "e1": "b", "e2": "a", "e3": "b", "e4": "b"}
 REPLICAS = ("e0", "e1")
 
-ids = st.sampled_from(sorted(PLACES))
+ids = st.sampled_from(sorted(DATA_CENTRES))
 replicas = st.sampled_from(REPLICAS)
 
 
@@ -61,54 +61,56 @@
         super().__init__()
         self.now = 0.0
         self.log = []
-        # The oracle: accepted trees by revision, and the first answer of each id.
+        # The model: accepted trees by revision, and the first answer to each id.
         self.accepted = [EMPTY]
         self.answers = {}
         self.expected = []
         self.ids = []
-        self.bag = []
+        self.in_flight = []
         self.late = []
         self.machines = {}
         self.applied = dict.fromkeys(REPLICAS, 0)
-        self.spreads = {}
-        self.heard = {}
+        self.replications = {}
+        self.peers = {}
         self.lowest = {}
-        self.lowest_held = {}
+        self.lowest_stored = {}
 
     @initialize(direct=st.sampled_from([2, 16]), leader=replicas)
     def start(self, direct, leader):
         self.direct = direct
         self.leader = leader
-        for one in PLACES:
+        for one in DATA_CENTRES:
             self._start_empty(one)
         for one in REPLICAS:
             self.machines[one] = self._machine(one)
 
     def _start_empty(self, one):
-        self.spreads[one] = TreeReplication(
-            one, PLACES[one], len(PLACES) - 1, self.now, self.direct
+        self.replications[one] = TreeReplication(
+            one, DATA_CENTRES[one], len(DATA_CENTRES) - 1, self.now, self.direct
         )
-        self.heard[one] = {}
-        self.lowest[one] = self.lowest_held[one] = 0
+        self.peers[one] = {}
+        self.lowest[one] = self.lowest_stored[one] = 0
 
     def _machine(self, one):
         return TreeMachine(lambda machine: self._committed(one, machine))
 
     def _committed(self, one, machine):
         is_leader = one == self.leader
-        sent = self.spreads[one].handle_commit(
-            machine.store, is_leader, self.heard[one]
+        sent = self.replications[one].handle_commit(
+            machine.store, is_leader, self.peers[one]
         )
-        self._put(one, sent)
+        self._enqueue(one, sent)
 
-    def _put(self, sender, outgoing):
-        self.bag.extend((sender, one.receiver_id, one.message) for one in outgoing)
+    def _enqueue(self, sender, outgoing):
+        self.in_flight.extend(
+            (sender, one.receiver_id, one.message) for one in outgoing
+        )
 
     # --- operators ------------------------------------------------------------
 
     @rule(entry=ids, tree=st.sampled_from(TREES), back=st.integers(-1, 2))
     def change(self, entry, tree, back):
-        base = max(0, self.spreads[entry].store.revision - back)
+        base = max(0, self.replications[entry].store.revision - back)
         change_id = f"c{len(self.ids)}"
         self.ids.append((change_id, base, tree))
         self._propose(entry, change_id, base, tree)
@@ -134,7 +136,7 @@
         self.apply(one, len(self.log))
 
     def _propose(self, entry, change_id, base, tree):
-        store = self.spreads[entry].store
+        store = self.replications[entry].store
         command = make_tree_change(
             store,
             difference(store.declared, tree),
@@ -144,10 +146,10 @@
             at_seconds=self.now,
         )
         self.log.append(encode_command(command))
-        self.expected.append(self._judge(change_id, base, tree, store.revision))
+        self.expected.append(self._model_answer(change_id, base, tree, store.revision))
 
-    def _judge(self, change_id, base, tree, entry_revision):
-        """Return what the oracle answers: status and revision."""
+    def _model_answer(self, change_id, base, tree, entry_revision):
+        """Return the model's answer: status and revision."""
         present = len(self.accepted) - 1
         if change_id in self.answers:
             return self.answers[change_id]
@@ -195,73 +197,83 @@
     @rule(sender=ids, receiver=ids)
     def beat(self, sender, receiver):
         if sender != receiver:
-            revision = self.spreads[sender].in_force.tree.revision
-            self.heard[receiver][sender] = InstanceRow(
-                sender, 1, PLACES[sender], InstanceState.READY, revision, self.now
+            revision = self.replications[sender].in_force.tree.revision
+            self.peers[receiver][sender] = InstanceRow(
+                sender, 1, DATA_CENTRES[sender], InstanceState.READY, revision, self.now
             )
 
     @rule(one=ids, seconds=st.sampled_from([0.05, REQUEST_INTERVAL_SECONDS]))
     def tick(self, one, seconds):
         self.now += seconds
-        self._put(one, self.spreads[one].collect_requests(self.heard[one], self.now))
+        self._enqueue(
+            one, self.replications[one].collect_requests(self.peers[one], self.now)
+        )
 
-    @precondition(lambda self: self.bag)
+    @precondition(lambda self: self.in_flight)
     @rule(
         data=st.data(), fate=st.sampled_from(["deliver", "deliver", "double", "lose"])
     )
     def message(self, data, fate):
-        position = data.draw(st.integers(0, len(self.bag) - 1))
-        parcel = self.bag[position] if fate == "double" else self.bag.pop(position)
+        position = data.draw(st.integers(0, len(self.in_flight) - 1))
+        envelope = (
+            self.in_flight[position]
+            if fate == "double"
+            else self.in_flight.pop(position)
+        )
         if fate != "lose":
-            self._deliver(*parcel)
+            self._deliver(*envelope)
 
     def _deliver(self, sender, receiver, message):
-        spread = self.spreads[receiver]
-        answer = spread.handle_message(sender, message, self.heard[receiver], self.now)
-        self._put(receiver, answer)
+        replication = self.replications[receiver]
+        answer = replication.handle_message(
+            sender, message, self.peers[receiver], self.now
+        )
+        self._enqueue(receiver, answer)
 
     @rule(sender=ids, receiver=ids, whole=st.booleans(), revision=st.integers(0, 5))
     def stray_question(self, sender, receiver, whole, revision):
-        self.bag.append((sender, receiver, TreeRequest(revision, whole)))
+        self.in_flight.append((sender, receiver, TreeRequest(revision, whole)))
 
     @rule(one=ids, limit=st.sampled_from([1, 2, 100, 100]))
     def work(self, one, limit):
-        self.spreads[one].in_force.recompute_slice(limit)
+        self.replications[one].in_force.recompute_slice(limit)
 
     @rule(one=ids)
     def readiness(self, one):
-        spread = self.spreads[one]
-        if spread.is_ready(self.heard[one], self.now):
-            assert spread.in_force.tree.revision > 0
+        replication = self.replications[one]
+        if replication.is_ready(self.peers[one], self.now):
+            assert replication.in_force.tree.revision > 0
 
     @rule()
     def quiet_round(self):
-        """For a while nothing is lost and everybody has time."""
+        """All messages arrive and all instances recompute their trees."""
         self.now += SNAPSHOT_INTERVAL_SECONDS
-        for one in PLACES:
-            for other in PLACES:
+        for one in DATA_CENTRES:
+            for other in DATA_CENTRES:
                 self.beat(one, other)
-        for one in PLACES:
+        for one in DATA_CENTRES:
             self.tick(one, REQUEST_INTERVAL_SECONDS)
-        while self.bag:
-            self._deliver(*self.bag.pop())
-        for spread in self.spreads.values():
-            while not spread.in_force.is_current:
-                spread.in_force.recompute_slice()
+        while self.in_flight:
+            self._deliver(*self.in_flight.pop())
+        for replication in self.replications.values():
+            while not replication.in_force.is_current:
+                replication.in_force.recompute_slice()
 
     # --- what must hold -------------------------------------------------------
 
     @invariant()
     def every_tree_is_an_accepted_one_and_none_goes_back(self):
-        for one, spread in self.spreads.items():
-            assert spread.store.revision >= self.lowest_held[one]
-            self.lowest_held[one] = spread.store.revision
-            assert spread.store.declared == self.accepted[spread.store.revision]
-            tree = spread.in_force.tree
+        for one, replication in self.replications.items():
+            assert replication.store.revision >= self.lowest_stored[one]
+            self.lowest_stored[one] = replication.store.revision
+            assert (
+                replication.store.declared == self.accepted[replication.store.revision]
+            )
+            tree = replication.in_force.tree
             if tree.revision != self.lowest[one]:
                 assert tree.revision > self.lowest[one]
-                wanted = effective_tree(self.accepted[tree.revision], tree.revision)
-                assert tree == wanted
+                expected = effective_tree(self.accepted[tree.revision], tree.revision)
+                assert tree == expected
                 self.lowest[one] = tree.revision
 
     @invariant()
@@ -274,7 +286,7 @@
             )
 
     def teardown(self):
-        """Once messages arrive again, all come to the newest tree in a few rounds."""
+        """Once messages arrive, all instances reach the newest tree in a few rounds."""
         if not self.machines:
             return
         for one in REPLICAS:
@@ -282,10 +294,11 @@
         for _ in range(4):
             self.quiet_round()
             self.every_tree_is_an_accepted_one_and_none_goes_back()
-        for spread in self.spreads.values():
-            assert spread.store.revision == len(self.accepted) - 1
-            is_ready = spread.is_ready(
-                self.heard[next(iter(PLACES))], self.now + SNAPSHOT_INTERVAL_SECONDS
+        for replication in self.replications.values():
+            assert replication.store.revision == len(self.accepted) - 1
+            is_ready = replication.is_ready(
+                self.peers[next(iter(DATA_CENTRES))],
+                self.now + SNAPSHOT_INTERVAL_SECONDS,
             )
             assert is_ready or len(self.accepted) == 1
 
--- a/tests/test_yaml_text.py
+++ b/tests/test_yaml_text.py
@@ -1,4 +1,4 @@
-"""The strict reader agrees with the library's own wherever it takes a text."""
+"""The strict reader agrees with the library's reader on every text it accepts."""
 
 import pytest
 import yaml
@@ -22,8 +22,8 @@
 @given(values, st.sampled_from([None, True, False]))
 def test_what_the_library_writes_is_read_the_same(value, flow):
     text = yaml.safe_dump(value, default_flow_style=flow, allow_unicode=True)
-    # The library does not read back every text that it writes: it writes U+0085 as
-    # it is and reads it as the end of a line. What it reads is what is expected.
+    # The library doesn't read back every text that it writes: it writes U+0085
+    # unescaped and reads it as a line break. Its own reading is the expected one.
     assert load_yaml(text) == yaml.safe_load(text)
 
 
