--- a/sesameford/tree_changes.py
+++ b/sesameford/tree_changes.py
@@ -274,15 +274,15 @@
         self.declared_version = declaration.version
         self.declared_text = declaration.text
         nodes = _merge_declaration(self.store.declared.nodes, declaration)
-        found = difference(self.store.declared, DeclaredTree(nodes))
-        if found.is_empty():
+        applied = difference(self.store.declared, DeclaredTree(nodes))
+        if applied.is_empty():
             return self._make_answer(ACCEPTED)
-        self._advance(found)
+        self._advance(applied)
         self._record_history(
             f"{declaration.declarer}/{declaration.version}",
             declaration.declarer,
             declaration.at_seconds,
-            found,
+            applied,
         )
         self._on_commit(self)
         return self._make_answer(ACCEPTED)
@@ -319,8 +319,8 @@
         if newest > order.base_revision:
             return self._make_answer(CONFLICT)
         put = evacuation_nodes(nodes, order.data_centre, order.evacuated)
-        found = TreeDifference(put, ())
-        self._advance(found)
+        applied = TreeDifference(put, ())
+        self._advance(applied)
         history_difference = TreeDifference(
             {data_centre_path(order.data_centre): b""}, ()
         )
@@ -336,10 +336,12 @@
             change_id
         )
 
-    def _advance(self, found: TreeDifference) -> None:
+    def _advance(self, applied: TreeDifference) -> None:
         """Advance the tree by one revision with a difference computed here."""
         revision = self.store.revision + 1
-        self.store.apply_step(TreeStep(revision, found, self.store.digest_after(found)))
+        self.store.apply_step(
+            TreeStep(revision, applied, self.store.digest_after(applied))
+        )
 
     def _apply_change(self, change: TreeChange) -> ChangeAnswer:
         """Accept or reject a change, once for each change id."""
