--- a/sesameford/gateway/call_context.py
+++ b/sesameford/gateway/call_context.py
@@ -56,13 +56,13 @@
 class GatewayDeps:
     """The parts of a router that a call meets."""
 
-    edge: WireAdapter
+    wire_adapter: WireAdapter
     sender: Sender
     placement: Placement
     gate: ShareGate
     second_sends: SecondSends
     lag: LoopLag
-    tally: GatewayMetrics
+    metrics: GatewayMetrics
     random: Random
     state: Callable[[], GatewayState | None]
     routers: Callable[[], int]
--- a/sesameford/gateway/call_log.py
+++ b/sesameford/gateway/call_log.py
@@ -52,11 +52,11 @@
 
 def log_end(deps: GatewayDeps, run: CallContext, outcome: str, detail: str) -> None:
     took_seconds = deps.now() - run.arrived_at_seconds
-    deps.tally.ended(
+    deps.metrics.ended(
         outcome, run.route.route_id, run.status, took_seconds, run.first_event_seconds
     )
     if run.route.is_stream and run.first_event_seconds is not None:
-        deps.tally.paused(run.route.route_id, run.longest_pause_seconds)
+        deps.metrics.paused(run.route.route_id, run.longest_pause_seconds)
     first = run.first_event_seconds
     lease = run.lease
     # The line of a call that failed is among the last to be left out.
--- a/sesameford/gateway/early_decision.py
+++ b/sesameford/gateway/early_decision.py
@@ -49,6 +49,6 @@
     """
     pairs = [(str(name), value) for name, value in headers.items()]
     try:
-        return deps.edge.read_call(method, target, headers, pairs)
+        return deps.wire_adapter.read_call(method, target, headers, pairs)
     except BadCallError as error:
         raise Refusal(error.status, error.detail) from error
--- a/sesameford/gateway/forward.py
+++ b/sesameford/gateway/forward.py
@@ -114,7 +114,7 @@
     """Sends calls to targets."""
 
     session: ClientSession
-    edge: WireAdapter
+    wire_adapter: WireAdapter
 
     @asynccontextmanager
     async def exchange(
@@ -158,7 +158,7 @@
         until_seconds: float,
     ) -> ClientResponse:
         url = URL(f"http://{address}{call.target}", encoded=True)
-        headers = CIMultiDict(self.edge.sent_headers(call, sending))
+        headers = CIMultiDict(self.wire_adapter.sent_headers(call, sending))
         try:
             async with timeout_at(until_seconds):
                 return await self.session.request(
@@ -186,7 +186,7 @@
         the answer shows it, and the connection is not used again.
         """
         headers = [(str(name), value) for name, value in response.headers.items()]
-        head = self.edge.read_answer(response.status, headers)
+        head = self.wire_adapter.read_answer(response.status, headers)
         if head.is_other:
             raise SendingError(Fate.WRONG_TARGET, "another target has the address")
         if head.not_run:
@@ -201,6 +201,6 @@
     return f"{type(error).__name__}: {error}"[:200]
 
 
-def make_sender(session: ClientSession, edge: WireAdapter) -> Sender:
+def make_sender(session: ClientSession, wire_adapter: WireAdapter) -> Sender:
     """Return what sends calls over a session."""
-    return Sender(session, edge)
+    return Sender(session, wire_adapter)
--- a/sesameford/gateway/own_answer.py
+++ b/sesameford/gateway/own_answer.py
@@ -54,9 +54,9 @@
     arrived_at_seconds: float,
 ) -> OwnAnswer:
     """Count and log a refusal, and return its answer."""
-    deps.tally.refused(refusal.reason)
+    deps.metrics.refused(refusal.reason)
     log_refusal(deps, call, run, refusal, arrived_at_seconds)
-    headers = dict(deps.edge.own_headers(call))
+    headers = dict(deps.wire_adapter.own_headers(call))
     if refusal.retry_after_seconds is not None:
         headers["Retry-After"] = f"{refusal.retry_after_seconds:.3f}"
     is_last = deps.is_leaving() or deps.is_crowded()
--- a/sesameford/gateway/serve.py
+++ b/sesameford/gateway/serve.py
@@ -58,11 +58,11 @@
             call = read_call(deps, http.method, http.raw_path, http.headers)
         admitted = early.admitted if early else decide(deps, call, arrived_at_seconds)
         run = await begin(deps, http, call, admitted, arrived_at_seconds)
-        deps.tally.opened()
+        deps.metrics.opened()
         try:
             response = await _run_to_answer(deps, http, run)
         finally:
-            deps.tally.closed()
+            deps.metrics.closed()
         log_end(deps, run, "answered", "")
         return response
     except CutError as cut:
