--- a/sesameford/gateway/admit.py
+++ b/sesameford/gateway/admit.py
@@ -168,7 +168,7 @@
     """
 
     def has_room() -> bool:
-        return deps.placement.has_room(
+        return deps.placement.has_spare_capacity(
             service,
             prompt,
             state.tree.services[service],
--- a/sesameford/gateway/load_system.py
+++ b/sesameford/gateway/load_system.py
@@ -162,8 +162,8 @@
             self.gate.rows(now_seconds),
             round(self._wait_seconds(now_seconds), 4),
             round(self.gate.handled.tokens_per_second(now_seconds)),
-            self._placement.news(),
-            self._placement.outcomes(),
+            self._placement.flush_used_parts(),
+            self._placement.flush_outcomes(),
             round(now_seconds * 1000) if lacks_permits else 0,
             round(self.gate.timeliness.in_time_answers(now_seconds), 2),
             round(self.gate.timeliness.late_answers(now_seconds), 2),
@@ -269,7 +269,7 @@
 
     def _log_failing(self) -> None:
         """Log which targets fail part of what the whole fleet sends them."""
-        parts = self._placement.target_ids(self._sums.failing)
+        parts = self._placement.failed_parts_by_id(self._sums.failing)
         text = ",".join(f"{one}:{part:.2f}" for one, part in sorted(parts.items()))
         logger.warning("targets fail in part", extra={"targets": text})
 
--- a/sesameford/gateway/placement.py
+++ b/sesameford/gateway/placement.py
@@ -99,7 +99,7 @@
         self._random = random
         self._data_centre = data_centre
         self._beat_seconds = beat_seconds
-        self._places: dict[str, TargetRecord] = {}
+        self._records: dict[str, TargetRecord] = {}
         self._leases = 0
         self._hold_seconds = FIRST_HOLD_SECONDS
         self._began_at_seconds: dict[int, float] = {}
@@ -115,7 +115,7 @@
 
     def _restarted(self, target_id: str) -> None:
         """Forget what is known of a target that holds nothing of it any more."""
-        self._places.pop(target_id, None)
+        self._records.pop(target_id, None)
 
     def choose(
         self,
@@ -158,7 +158,7 @@
         lease = self._engine_lease(option, prompt, engine, now_seconds)
         return replace(lease, is_cold=True) if is_cold else lease
 
-    def has_room(
+    def has_spare_capacity(
         self,
         service: str,
         prompt: Prompt,
@@ -225,20 +225,20 @@
                 now_seconds,
             )
 
-        places = [(known, self._place(known.row.target_id)) for known in usable]
+        places = [(known, self._record(known.row.target_id)) for known in usable]
         permitted = self.candidates.cold_ids(usable, now_seconds)
         options = options_for(prompt, places, engine, self._random, permitted)
         return min(options, key=cost)
 
-    def heard(self, lease: Reservation, now_seconds: float) -> None:
+    def record_answer_data(self, lease: Reservation, now_seconds: float) -> None:
         """Note that something of an answer came from a target."""
-        place = self._place(lease.target_id)
+        place = self._record(lease.target_id)
         place.last_seen_at_seconds = now_seconds
         place.unanswered.pop(lease.number, None)
 
-    def first_event(self, lease: Reservation, now_seconds: float) -> None:
+    def record_first_event(self, lease: Reservation, now_seconds: float) -> None:
         """Note that a request's prompt has been read."""
-        backlog = self._place(lease.target_id).backlog
+        backlog = self._record(lease.target_id).backlog
         backlog.read(lease.number)
         self._began_at_seconds[lease.number] = now_seconds
         # A cold engine says little of its kind, nor of itself when it is warm.
@@ -258,18 +258,18 @@
 
     def is_lost(self, lease: Reservation, now_seconds: float) -> bool:
         """Return whether a request's answer was due long ago and nothing came."""
-        waiting = self._place(lease.target_id).unanswered.get(lease.number)
+        waiting = self._record(lease.target_id).unanswered.get(lease.number)
         return waiting is not None and now_seconds > waiting[1] + LOST_SECONDS
 
-    def released(self, lease: Reservation, now_seconds: float) -> None:
+    def release(self, lease: Reservation, now_seconds: float) -> None:
         """Give back a request's share of its target.
 
         One that ends while its target is silent leaves the target to rest; forgotten,
         the next requests would have to find out again.
         """
-        place = self._place(lease.target_id)
+        place = self._record(lease.target_id)
         if lease.number in place.unanswered and place.is_silent(now_seconds):
-            self.failed(lease.target_id, now_seconds)
+            self.record_connection_failure(lease.target_id, now_seconds)
         place.requests = max(place.requests - 1, 0)
         place.unanswered.pop(lease.number, None)
         place.backlog.read(lease.number)
@@ -278,20 +278,22 @@
             held_seconds = now_seconds - began_at_seconds
             self._hold_seconds += HOLD_GAIN * (held_seconds - self._hold_seconds)
 
-    def failed(self, target_id: str, now_seconds: float) -> None:
+    def record_connection_failure(self, target_id: str, now_seconds: float) -> None:
         """Let a target rest at which a connection failed or broke."""
-        place = self._place(target_id)
+        place = self._record(target_id)
         rest_seconds = min(REST_SECONDS * 2**place.failures, LONGEST_REST_SECONDS)
         place.failures += 1
         place.rests_until_seconds = now_seconds + rest_seconds
 
-    def proved(self, target_id: str) -> None:
+    def record_success(self, target_id: str) -> None:
         """Note that a target gave a whole answer."""
-        place = self._place(target_id)
+        place = self._record(target_id)
         place.failures = 0
         place.answered += 1
 
-    def ran(self, service: str, lease: Reservation, now_seconds: float) -> None:
+    def record_work_time(
+        self, service: str, lease: Reservation, now_seconds: float
+    ) -> None:
         """Learn how long a plain service works on a request."""
         took_seconds = (now_seconds - lease.sent_at_seconds) / max(lease.fullness, 1.0)
         before_seconds = self._work_seconds.get(service, took_seconds)
@@ -310,7 +312,7 @@
         if not work_seconds or not found:
             return PlainQueue(0.0, 0.0)
         fullness = min(
-            self._place(known.row.target_id).all_requests(now_seconds)
+            self._record(known.row.target_id).all_requests(now_seconds)
             / max(known.row.slots, 1)
             for known in self._usable(found, now_seconds)
         )
@@ -318,9 +320,9 @@
 
     def record_bad_answer(self, target_id: str) -> None:
         """Note that a target failed a request that it took."""
-        self._place(target_id).failed += 1
+        self._record(target_id).failed += 1
 
-    def waits_seconds(
+    def queue_waits_seconds(
         self, service: str, slots: int, now_seconds: float
     ) -> list[float]:
         """Return how long a prompt waits at each engine of a service.
@@ -335,7 +337,10 @@
         usable = self._usable(warm or found, now_seconds)
         return [
             queue_seconds(
-                self._place(known.row.target_id), slots, self._hold_seconds, now_seconds
+                self._record(known.row.target_id),
+                slots,
+                self._hold_seconds,
+                now_seconds,
             )
             for known in usable
         ]
@@ -351,7 +356,7 @@
         known = self._mean_waits.get(service)
         if known is not None and now_seconds < known.valid_until_seconds:
             return known.seconds
-        waits = self.waits_seconds(service, slots, now_seconds)
+        waits = self.queue_waits_seconds(service, slots, now_seconds)
         seconds = sum(waits) / len(waits) if waits else 0.0
         valid_until_seconds = now_seconds + MEAN_WAIT_VALID_SECONDS
         self._mean_waits[service] = _MeanWait(seconds, valid_until_seconds)
@@ -365,22 +370,22 @@
                 place.running_requests(now_seconds),
                 place.backlog.unread_tokens(now_seconds),
             )
-            for target_id, place in self._places.items()
+            for target_id, place in self._records.items()
             if place.requests
         )
 
-    def news(self) -> tuple[UsedParts, ...]:
+    def flush_used_parts(self) -> tuple[UsedParts, ...]:
         """Return what this router has sent to engines since it was asked last."""
         rows = [
             place.memory.news(short_name(target_id))
-            for target_id, place in self._places.items()
+            for target_id, place in self._records.items()
         ]
         return tuple(row for row in rows if row is not None)
 
-    def outcomes(self) -> tuple[TargetOutcomes, ...]:
+    def flush_outcomes(self) -> tuple[TargetOutcomes, ...]:
         """Return how targets have answered since this was asked last."""
         rows = []
-        for target_id, place in self._places.items():
+        for target_id, place in self._records.items():
             if place.answered or place.failed:
                 name = short_name(target_id)
                 rows.append(TargetOutcomes(name, place.answered, place.failed))
@@ -390,10 +395,10 @@
     def set_failing_targets(self, rows: Iterable[FailingTarget]) -> None:
         """Take which targets fail part of what the fleet sends them."""
         parts = {row.name: row.failed_part for row in rows}
-        for target_id, place in self._places.items():
+        for target_id, place in self._records.items():
             place.failed_part = parts.get(short_name(target_id), 0.0)
 
-    def target_ids(self, rows: Iterable[FailingTarget]) -> dict[str, float]:
+    def failed_parts_by_id(self, rows: Iterable[FailingTarget]) -> dict[str, float]:
         """Return which part the known ones of failing targets fail, by their ids."""
         known = ((self._table.by_name(row.name), row.failed_part) for row in rows)
         return {one.row.target_id: part for one, part in known if one is not None}
@@ -414,7 +419,7 @@
                 continue
             engine = engines.get(known.row.service)
             memory_tokens = engine.cache_tokens if engine else None
-            self._place(known.row.target_id).memory.take(row, memory_tokens)
+            self._record(known.row.target_id).memory.take(row, memory_tokens)
 
     def set_other_routers_load(self, loads: Iterable[TargetLoad]) -> None:
         """Take what all other routers have under way, by target."""
@@ -422,14 +427,14 @@
         by_name = {load.name: load for load in loads}
         for target_id in self._table.known:
             load = by_name.get(short_name(target_id))
-            place = self._place(target_id)
+            place = self._record(target_id)
             place.others_requests = load.requests if load else 0
             place.backlog.others_unread_tokens = load.unread_tokens if load else 0
 
     def forget(self) -> None:
         """Drop what is known of targets that the table has forgotten."""
-        for target_id in [one for one in self._places if one not in self._table.known]:
-            del self._places[target_id]
+        for target_id in [one for one in self._records if one not in self._table.known]:
+            del self._records[target_id]
 
     def _usable(
         self, found: list[HeartbeatEntry], now_seconds: float
@@ -448,26 +453,26 @@
         rested = [
             known
             for known in heard
-            if self._place(known.row.target_id).rests_until_seconds <= now_seconds
+            if self._record(known.row.target_id).rests_until_seconds <= now_seconds
         ]
         answering = [
             known
             for known in rested
-            if not self._place(known.row.target_id).is_silent(now_seconds)
+            if not self._record(known.row.target_id).is_silent(now_seconds)
         ]
         return answering or rested or heard
 
-    def _place(self, target_id: str) -> TargetRecord:
-        place = self._places.get(target_id)
+    def _record(self, target_id: str) -> TargetRecord:
+        place = self._records.get(target_id)
         if place is None:
             backlog = make_engine_backlog(self._kind_rate)
-            place = self._places[target_id] = TargetRecord(backlog=backlog)
+            place = self._records[target_id] = TargetRecord(backlog=backlog)
         return place
 
     def _plain_lease(self, known: HeartbeatEntry, now_seconds: float) -> Reservation:
         """Count a request at a plain service."""
         row = known.row
-        place = self._place(row.target_id)
+        place = self._record(row.target_id)
         place.requests += 1
         fullness = place.all_requests(now_seconds) / max(row.slots, 1)
         number = self._open(place, now_seconds, now_seconds)
@@ -525,7 +530,7 @@
     def _plain_cost(
         self, now_seconds: float, known: HeartbeatEntry
     ) -> tuple[float, int]:
-        place = self._place(known.row.target_id)
+        place = self._record(known.row.target_id)
         requests = place.all_requests(now_seconds)
         far = 0.0 if known.row.data_centre == self._data_centre else FAR_REQUESTS
         fullness = (requests + far) / max(known.row.slots, 1)
--- a/sesameford/gateway/serve.py
+++ b/sesameford/gateway/serve.py
@@ -132,7 +132,7 @@
     """
     left_seconds = run.until_seconds - deps.loop_time()
     if left_seconds < LEAST_LEFT_SECONDS:
-        deps.placement.released(lease, deps.now())
+        deps.placement.release(lease, deps.now())
         raise SendingError(Fate.TIMEOUT, "no time is left")
     run.sendings += 1
     run.lease = lease
@@ -149,7 +149,7 @@
         async with deps.sender.exchange(
             run.call, run.body, lease.address, sending, run.until_seconds
         ) as exchange:
-            deps.placement.heard(lease, deps.now())
+            deps.placement.record_answer_data(lease, deps.now())
             async with body_until(run.until_seconds):
                 answer = await _pass_on(deps, http, run, lease, exchange)
         is_failed = run.status >= 500
@@ -160,11 +160,11 @@
         # The caller may have given up on an answer that was lost.
         if is_failed or deps.placement.is_lost(lease, deps.now()):
             _note_failed(deps, run, lease)
-        deps.placement.released(lease, deps.now())
+        deps.placement.release(lease, deps.now())
     if not is_failed:
-        deps.placement.proved(lease.target_id)
+        deps.placement.record_success(lease.target_id)
         if not run.route.is_stream:
-            deps.placement.ran(run.service, lease, deps.now())
+            deps.placement.record_work_time(run.service, lease, deps.now())
     return answer
 
 
@@ -213,8 +213,8 @@
             if run.call.prompt is not None:
                 deps.gate.began(run.customer or "", run.call.prompt.cost_tokens)
                 _note_begin(deps, run)
-            deps.placement.first_event(lease, deps.now())
-        deps.placement.heard(lease, deps.now())
+            deps.placement.record_first_event(lease, deps.now())
+        deps.placement.record_answer_data(lease, deps.now())
         ready = run.passed.feed(chunk) if run.passed is not None else chunk
         if ready:
             await _write(http, run, response, ready)
@@ -248,7 +248,7 @@
 ) -> None:
     """Note what a failed sending shows of its target and of the call."""
     if error.fate in (Fate.NEVER_SENT, Fate.LOST, Fate.WRONG_TARGET):
-        deps.placement.failed(lease.target_id, deps.now())
+        deps.placement.record_connection_failure(lease.target_id, deps.now())
     if error.fate not in NOT_RUN_FATES:
         run.may_have_run = True
     if error.fate is Fate.NEVER_SENT:
--- a/sesameford/gateway/target_record.py
+++ b/sesameford/gateway/target_record.py
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """One request's share of a target's work, to be given back by ``released``.
+    """One request's share of a target's work, to be given back by ``release``.
 
     ``tokens`` are to be read for it and ``ahead_tokens`` before it;
     ``expected_seconds`` is the time until it is read, as it looked when it was sent.
--- a/standins/engine_queue.py
+++ b/standins/engine_queue.py
@@ -57,10 +57,10 @@
         # It changes each time, so routers tell as often as they may.
         return (TargetLoad(1, 1, int(now_seconds * 1_000)),)
 
-    def news(self) -> tuple[UsedParts, ...]:
+    def flush_used_parts(self) -> tuple[UsedParts, ...]:
         return ()
 
-    def outcomes(self) -> tuple[TargetOutcomes, ...]:
+    def flush_outcomes(self) -> tuple[TargetOutcomes, ...]:
         return ()
 
     def set_failing_targets(self, rows: Iterable[FailingTarget]) -> None:
@@ -69,5 +69,5 @@
     def set_other_routers_load(self, loads: Iterable[TargetLoad]) -> None:
         pass
 
-    def has_room(self, *args: object) -> bool:
+    def has_spare_capacity(self, *args: object) -> bool:
         return False
--- a/standins/virtual_engines.py
+++ b/standins/virtual_engines.py
@@ -145,8 +145,8 @@
         for number, router in enumerate(self.routers):
             load = RouterLoad(
                 router.loads(self.now_seconds),
-                used=router.news(),
-                outcomes=router.outcomes(),
+                used=router.flush_used_parts(),
+                outcomes=router.flush_outcomes(),
             )
             self._sums.received(f"r{number}", load, self.now_seconds)
         for answer in self._sums.tick(None, 0.0, self.now_seconds):
@@ -175,7 +175,7 @@
         if self.random.random() < self.failing.get(lease.target_id, 0.0):
             outcome.is_failed = True
             self.routers[arrival.router].record_bad_answer(lease.target_id)
-            self.routers[arrival.router].released(lease, self.now_seconds)
+            self.routers[arrival.router].release(lease, self.now_seconds)
             return
         engine = self.engines[lease.target_id]
         engine.waiting.append((outcome, lease))
@@ -227,16 +227,16 @@
         arrival = outcome.arrival
         router = self.routers[arrival.router]
         outcome.first_event_seconds = self.now_seconds - arrival.at_seconds
-        router.heard(lease, self.now_seconds)
-        router.first_event(lease, self.now_seconds)
+        router.record_answer_data(lease, self.now_seconds)
+        router.record_first_event(lease, self.now_seconds)
         lasts_seconds = arrival.output_tokens / engine.figures.event_tokens_per_second
         self._at(
             self.now_seconds + lasts_seconds, lambda: self._end(engine, router, lease)
         )
 
     def _end(self, engine: _Engine, router: Placement, lease: Reservation) -> None:
-        router.proved(lease.target_id)
-        router.released(lease, self.now_seconds)
+        router.record_success(lease.target_id)
+        router.release(lease, self.now_seconds)
         engine.running -= 1
         self._begin(engine)
 
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -171,7 +171,7 @@
         lease = choose(placement, 1.0)
         if lease.is_cold:
             break
-    before = placement._place("e0").backlog.rate_tokens
-    placement.first_event(lease, 4.0)
+    before = placement._record("e0").backlog.rate_tokens
+    placement.record_first_event(lease, 4.0)
     assert lease.is_cold
-    assert placement._place("e0").backlog.rate_tokens == before
+    assert placement._record("e0").backlog.rate_tokens == before
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -345,7 +345,7 @@
     """
     async with open_desk(fault) as desk:
         await desk.ask(path)
-        outcomes = desk.deps.placement.outcomes()
+        outcomes = desk.deps.placement.flush_outcomes()
     assert sum(one.failed for one in outcomes) == failed
     assert sum(one.answered for one in outcomes) == (fault is Fault.NONE)
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -64,7 +64,7 @@
 def test_a_part_is_counted_as_read_once():
     placement, _ = make(4)
     first = choose(placement, prompt(7), now=0.0)
-    placement.heard(first, 0.1)
+    placement.record_answer_data(first, 0.1)
     again = choose(placement, prompt(7), now=5.0)
     assert (again.target_id, again.tokens) == (first.target_id, 1_000)
 
@@ -109,9 +109,9 @@
     placement, _ = make(1)
     leases = [choose(placement, prompt(n, 100, 1_000, 1_000 + n)) for n in range(60)]
     for number, lease in enumerate(leases):
-        placement.first_event(lease, 2.0 + number * 0.02)
+        placement.record_first_event(lease, 2.0 + number * 0.02)
     for lease in leases:
-        placement.released(lease, 4.0)
+        placement.release(lease, 4.0)
     assert waits(placement) == 0.0
 
 
@@ -145,14 +145,14 @@
     placement, _ = make(2)
     lease = choose(placement, prompt(1, shared=100, own=30_000))
     slow_seconds = 4 * lease.expected_seconds
-    placement.first_event(lease, slow_seconds)
+    placement.record_first_event(lease, slow_seconds)
     tried = frozenset({lease.target_id})
     other = choose(placement, prompt(2, shared=100, own=30_000), 9.0, tried)
     assert other.expected_seconds > 0.5 * slow_seconds
 
 
 def waits(placement, now=0.0):
-    return placement.waits_seconds("pool", 32, now)[0]
+    return placement.queue_waits_seconds("pool", 32, now)[0]
 
 
 def test_a_request_beyond_the_places_of_an_engine_waits_for_one():
@@ -174,15 +174,15 @@
     """
     placement, _ = make(1)
     lease = choose(placement, prompt(1, 0, 6_000))
-    placement.first_event(lease, 3.0)
-    placement.released(lease, 3.0)
+    placement.record_first_event(lease, 3.0)
+    placement.release(lease, 3.0)
     slow = choose(placement, prompt(2, 0, 6_000), now=3.0)
     assert slow.expected_seconds > 0.8
-    placement.released(slow, 3.1)
+    placement.release(slow, 3.1)
     for number in range(10):
         small = choose(placement, prompt(50 + number, 0, 2_000), now=4.0 + number)
-        placement.first_event(small, 4.05 + number)
-        placement.released(small, 4.05 + number)
+        placement.record_first_event(small, 4.05 + number)
+        placement.release(small, 4.05 + number)
     well = choose(placement, prompt(3, 0, 6_000), now=14.0)
     assert well.expected_seconds < 0.3
 
@@ -212,7 +212,7 @@
 
 def has_room(placement, wanted):
     bounds = (OBJECTIVE_SECONDS, 0.01, 0.025)
-    return placement.has_room("pool", wanted, ENGINE, *bounds, 0.0)
+    return placement.has_spare_capacity("pool", wanted, ENGINE, *bounds, 0.0)
 
 
 def test_one_idle_engine_among_busy_ones_is_no_room():
@@ -240,7 +240,7 @@
 def test_a_target_at_which_connections_fail_rests_and_is_tried_again():
     placement, _ = make(2)
     for _ in range(8):
-        placement.failed("e0", 0.0)
+        placement.record_connection_failure("e0", 0.0)
     chosen = {choose(placement, prompt(n), now=0.1).target_id for n in range(30)}
     assert chosen == {"e1"}
     later = LONGEST_REST_SECONDS + 0.2
@@ -258,7 +258,7 @@
         choose(placement, prompt(1), now=0.0)
     silent = {"e0", "e1"}
     lease = choose(placement, prompt(1), now=0.3)
-    placement.heard(lease, 0.4)
+    placement.record_answer_data(lease, 0.4)
     silent.discard(lease.target_id)
     chosen = {choose(placement, prompt(n), now=1.6).target_id for n in range(20)}
     assert chosen == {"e0", "e1"} - silent
@@ -268,7 +268,7 @@
     """Callers give up on requests to a dark server one by one."""
     placement, _ = make(2)
     lease = choose(placement, prompt(1), now=0.0)
-    placement.released(lease, 2.0)
+    placement.release(lease, 2.0)
     chosen = {choose(placement, prompt(n), now=2.1).target_id for n in range(20)}
     assert lease.target_id not in chosen
 
@@ -278,15 +278,15 @@
     placement, _ = make(1)
     choose(placement, prompt(1, own=50_000), now=0.0)
     other = choose(placement, prompt(2), now=0.1)
-    placement.heard(other, 4.0)
-    assert not placement._place("e0").is_silent(4.1)
+    placement.record_answer_data(other, 4.0)
+    assert not placement._record("e0").is_silent(4.1)
 
 
 def test_a_target_that_has_started_again_is_known_to_hold_nothing():
     """It comes back under the id that it had, with its memory empty."""
     placement, table = make(1)
     first = choose(placement, prompt(7), now=0.0)
-    placement.first_event(first, 0.2)
+    placement.record_first_event(first, 0.2)
     assert choose(placement, prompt(7), now=5.0).tokens == 1_000
     table.beat(replace(engine("e0", 1), incarnation=9), 6.0)
     assert choose(placement, prompt(7), now=7.0).tokens == 6_000
@@ -331,9 +331,9 @@
     placement, _ = make(1)
     lease = choose(placement, prompt(1))
     assert placement.loads(0.0) == (others("e0", 1, lease.tokens),)
-    placement.first_event(lease, 0.1)
+    placement.record_first_event(lease, 0.1)
     assert placement.loads(0.0) == (others("e0", 1, 0),)
-    placement.released(lease, 0.2)
+    placement.release(lease, 0.2)
     assert placement.loads(0.0) == ()
 
 
@@ -347,13 +347,15 @@
     placement, _ = make(80)
     placement.set_other_routers_load([others(f"e{n}", 4, 90_000) for n in range(80)])
     looked_at = []
-    waits_seconds = placement.waits_seconds
+    waits_seconds = placement.queue_waits_seconds
     monkeypatch.setattr(
-        placement, "waits_seconds", lambda *a: looked_at.append(a) or waits_seconds(*a)
+        placement,
+        "queue_waits_seconds",
+        lambda *a: looked_at.append(a) or waits_seconds(*a),
     )
     for number in range(500):
         now_seconds = number / 5_000
-        assert not placement.has_room(
+        assert not placement.has_spare_capacity(
             "pool", prompt(number), ENGINE, 0.25, 0.01, 0.0125, now_seconds
         )
     assert 1 <= len(looked_at) <= 6
@@ -364,7 +366,7 @@
     placement, _ = make(3, service="desk", slots=6)
     # A target is known here once something was sent there.
     lease = placement.choose("desk", None, None, 0.2, frozenset({"e1", "e2"}), 0.0)
-    placement.released(lease, 0.0)
+    placement.release(lease, 0.0)
     placement.set_failing_targets((FailingTarget(short_name("e0"), 0.6),))
     chosen = [
         placement.choose("desk", None, None, 0.2, frozenset(), 0.0).target_id
--- a/tests/test_plain_load.py
+++ b/tests/test_plain_load.py
@@ -106,16 +106,16 @@
             if running[lease.target_id] + len(waiting[lease.target_id]) >= (
                 SLOTS + QUEUE
             ):
-                one.placement.released(lease, clock[0])
+                one.placement.release(lease, clock[0])
                 continue
             waiting[lease.target_id].append((one, lease, clock[0]))
             begin(lease.target_id)
         else:
             name, one, lease, since = what
             running[name] -= 1
-            one.placement.heard(lease, clock[0])
-            one.placement.ran("desk", lease, clock[0])
-            one.placement.released(lease, clock[0])
+            one.placement.record_answer_data(lease, clock[0])
+            one.placement.record_work_time("desk", lease, clock[0])
+            one.placement.release(lease, clock[0])
             is_late = clock[0] - since > OBJECTIVE_SECONDS
             counts["late" if is_late else "in time"] += 1
             begin(name)
