--- a/sesameford/gateway/candidates.py
+++ b/sesameford/gateway/candidates.py
@@ -21,7 +21,7 @@
 logger = logging.getLogger(__name__)
 
 
-class Nowhere(StrEnum):
+class NoTargetReason(StrEnum):
     """Why a request has no target to go to."""
 
     NO_TARGET = "no-target"
@@ -139,13 +139,13 @@
             self.cold.sent(known)
         return is_cold
 
-    def why_nowhere(
+    def no_target_reason(
         self,
         service: str,
         tried: frozenset[str],
         now_seconds: float,
         homes: frozenset[str] | None = None,
-    ) -> Nowhere:
+    ) -> NoTargetReason:
         """Return why there is no target for a request.
 
         Args:
@@ -157,13 +157,13 @@
         ready = self._ready((service,))
         at_home = self._at_home(ready, homes)
         if ready and not at_home:
-            return Nowhere.NOT_AT_HOME
+            return NoTargetReason.NOT_AT_HOME
         left = [known for known in at_home if known.row.target_id not in tried]
         if left and all(one.row.data_centre in self._evacuated for one in left):
-            return Nowhere.EVACUATED
+            return NoTargetReason.EVACUATED
         if any(self.cold.is_cold(known, now_seconds) for known in left):
-            return Nowhere.COLD
-        return Nowhere.NO_TARGET
+            return NoTargetReason.COLD
+        return NoTargetReason.NO_TARGET
 
     def available_part(self, services: Collection[str], now_seconds: float) -> float:
         """Return the part of the targets of some services that take work as usual.
--- a/sesameford/gateway/serve.py
+++ b/sesameford/gateway/serve.py
@@ -16,7 +16,7 @@
 )
 from sesameford.gateway.call_log import log_end, log_failure
 from sesameford.gateway.calls import Headers, SendAttempt
-from sesameford.gateway.candidates import Nowhere
+from sesameford.gateway.candidates import NoTargetReason
 from sesameford.gateway.early_decision import EarlyCall, read_call
 from sesameford.gateway.forward import (
     NOT_RUN_FATES,
@@ -37,11 +37,11 @@
 # An evacuation lasts until an operator ends it: nothing is gained by coming back often.
 EVACUATED_RETRY_SECONDS = 2.0
 # Without a target a caller comes back when there may be one.
-NOWHERE_RETRY_SECONDS = {
-    Nowhere.NO_TARGET: RETRY_AFTER_SECONDS,
-    Nowhere.NOT_AT_HOME: RETRY_AFTER_SECONDS,
-    Nowhere.COLD: RETRY_AFTER_SECONDS,
-    Nowhere.EVACUATED: EVACUATED_RETRY_SECONDS,
+NO_TARGET_RETRY_SECONDS = {
+    NoTargetReason.NO_TARGET: RETRY_AFTER_SECONDS,
+    NoTargetReason.NOT_AT_HOME: RETRY_AFTER_SECONDS,
+    NoTargetReason.COLD: RETRY_AFTER_SECONDS,
+    NoTargetReason.EVACUATED: EVACUATED_RETRY_SECONDS,
 }
 # With less left than this a sending could bring no answer in time.
 LEAST_LEFT_SECONDS = 0.02
@@ -115,10 +115,10 @@
     if lease is None:
         if run.may_have_run:
             raise Refusal(502, "no-target-left")
-        reason = deps.placement.candidates.why_nowhere(
+        reason = deps.placement.candidates.no_target_reason(
             run.service, run.tried, deps.now(), run.homes
         )
-        raise Refusal(503, reason.value, NOWHERE_RETRY_SECONDS[reason])
+        raise Refusal(503, reason.value, NO_TARGET_RETRY_SECONDS[reason])
     return lease
 
 
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -12,7 +12,7 @@
 from sesameford.discovery.heartbeat_table import make_heartbeat_table, short_name
 from sesameford.effective import DataCentreSettings, EffectiveTree, ServiceSettings
 from sesameford.gateway.calls import Prompt
-from sesameford.gateway.candidates import Nowhere
+from sesameford.gateway.candidates import NoTargetReason
 from sesameford.gateway.cold_permits import (
     SPARE_PARTS,
     WINDOW_SECONDS,
@@ -151,7 +151,10 @@
     lease = choose(placement, 1.2)
     assert (lease.target_id, lease.is_cold) == ("e1", True)
     assert choose(placement, 1.2) is None
-    assert placement.candidates.why_nowhere("pool", frozenset(), 1.2) is Nowhere.COLD
+    assert (
+        placement.candidates.no_target_reason("pool", frozenset(), 1.2)
+        is NoTargetReason.COLD
+    )
     placement.candidates.cold.take([COLD], 1.0, 1.0 + PERMIT_SECONDS)
     assert choose(placement, 1.0 + PERMIT_SECONDS) is None
 
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -10,7 +10,7 @@
 from sesameford.effective import DataCentreSettings, EffectiveTree, ServiceSettings
 from sesameford.evacuations import EvacuationDeps, order_evacuation
 from sesameford.gateway.calls import Prompt, PromptPart
-from sesameford.gateway.candidates import Nowhere
+from sesameford.gateway.candidates import NoTargetReason
 from sesameford.gateway.placement import make_placement
 from sesameford.gateway.shares import make_share_table
 from sesameford.load_messages import CustomerRates, PartialLoad
@@ -246,7 +246,8 @@
     placement.configure(tree_with("a", "b", "c"), 0.5)
     assert choose(placement) is None
     assert (
-        placement.candidates.why_nowhere("pool", frozenset(), 1.0) is Nowhere.EVACUATED
+        placement.candidates.no_target_reason("pool", frozenset(), 1.0)
+        is NoTargetReason.EVACUATED
     )
 
 
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -7,7 +7,7 @@
 from sesameford.discovery.heartbeat_table import make_heartbeat_table
 from sesameford.effective import ServiceSettings
 from sesameford.gateway.calls import Prompt, PromptPart
-from sesameford.gateway.candidates import Nowhere
+from sesameford.gateway.candidates import NoTargetReason
 from sesameford.gateway.placement import make_placement
 from sesameford.messages import HeartbeatRow
 from sesameford.operators_http import digest_of_key
@@ -73,8 +73,8 @@
     placement = make()
     nowhere = frozenset({"north"})
     assert choose(placement, nowhere) is None
-    reason = placement.candidates.why_nowhere("pool", frozenset(), 1.0, nowhere)
-    assert reason is Nowhere.NOT_AT_HOME
+    reason = placement.candidates.no_target_reason("pool", frozenset(), 1.0, nowhere)
+    assert reason is NoTargetReason.NOT_AT_HOME
 
 
 @pytest.mark.parametrize(
