--- a/sesameford/gateway/call_log.py
+++ b/sesameford/gateway/call_log.py
@@ -4,7 +4,7 @@
 
 from sesameford.gateway.call_context import CallContext, GatewayDeps, Refusal
 from sesameford.gateway.calls import Call
-from sesameford.gateway.forward import SendingError
+from sesameford.gateway.forward import SendAttemptError
 from sesameford.gateway.target_record import Reservation
 
 logger = logging.getLogger(__name__)
@@ -35,7 +35,7 @@
 
 
 def log_failure(
-    deps: GatewayDeps, run: CallContext, lease: Reservation, error: SendingError
+    deps: GatewayDeps, run: CallContext, lease: Reservation, error: SendAttemptError
 ) -> None:
     logger.warning(
         "sending failed",
@@ -43,7 +43,7 @@
             "request": run.call.request_id,
             "target": lease.target_id,
             "address": lease.address,
-            "fate": error.fate.value,
+            "fate": error.outcome.value,
             "detail": error.detail,
             "sendings": run.sendings,
         },
--- a/sesameford/gateway/forward.py
+++ b/sesameford/gateway/forward.py
@@ -28,7 +28,7 @@
 OWN_HEADERS = frozenset({"User-Agent", "Accept", "Accept-Encoding", "Content-Type"})
 
 
-class Fate(StrEnum):
+class SendOutcome(StrEnum):
     """What became of a sending that brought no answer."""
 
     NEVER_SENT = "never-sent"
@@ -40,20 +40,22 @@
 
 
 # After these the call has certainly not run at that target.
-NOT_RUN_FATES = frozenset({Fate.NEVER_SENT, Fate.NOT_RUN, Fate.WRONG_TARGET})
+NOT_RUN_OUTCOMES = frozenset(
+    {SendOutcome.NEVER_SENT, SendOutcome.NOT_RUN, SendOutcome.WRONG_TARGET}
+)
 
 
-class SendingError(SesamefordError):
+class SendAttemptError(SesamefordError):
     """A sending brought no answer.
 
     Args:
-        fate: What is known of the call at that target.
+        outcome: What is known of the call at that target.
         detail: What was seen.
     """
 
-    def __init__(self, fate: Fate, detail: str) -> None:
-        super().__init__(f"{fate.value}: {detail}")
-        self.fate = fate
+    def __init__(self, outcome: SendOutcome, detail: str) -> None:
+        super().__init__(f"{outcome.value}: {detail}")
+        self.outcome = outcome
         self.detail = detail
 
 
@@ -68,14 +70,14 @@
         """Return the body as it comes; whoever reads it bounds the time.
 
         Raises:
-            SendingError: It broke off.
+            SendAttemptError: It broke off.
         """
         content = self.response.content
         while True:
             try:
                 chunk = await content.readany()
             except (ClientError, OSError) as error:
-                raise SendingError(Fate.BROKEN, _shown(error)) from error
+                raise SendAttemptError(SendOutcome.BROKEN, _shown(error)) from error
             if not chunk:
                 return
             yield chunk
@@ -84,7 +86,7 @@
         """Return the complete body; whoever reads it bounds the time.
 
         Raises:
-            SendingError: It broke off.
+            SendAttemptError: It broke off.
         """
         return b"".join([chunk async for chunk in self.chunks()])
 
@@ -100,13 +102,13 @@
         until_seconds: On the loop's clock, when to give up.
 
     Raises:
-        SendingError: The time is over.
+        SendAttemptError: The time is over.
     """
     try:
         async with timeout_at(until_seconds):
             yield
     except TimeoutError as error:
-        raise SendingError(Fate.TIMEOUT, "the body came too late") from error
+        raise SendAttemptError(SendOutcome.TIMEOUT, "the body came too late") from error
 
 
 @dataclass(frozen=True, slots=True)
@@ -138,7 +140,7 @@
             until_seconds: On the loop's clock, when to give up.
 
         Raises:
-            SendingError: No answer of this target to this call came.
+            SendAttemptError: No answer of this target to this call came.
         """
         response = await self._send(call, body, address, sending, until_seconds)
         try:
@@ -170,13 +172,13 @@
                     skip_auto_headers=OWN_HEADERS,
                 )
         except (ClientConnectorError, ConnectionTimeoutError) as error:
-            raise SendingError(Fate.NEVER_SENT, _shown(error)) from error
+            raise SendAttemptError(SendOutcome.NEVER_SENT, _shown(error)) from error
         except TimeoutError as error:
-            raise SendingError(Fate.TIMEOUT, "no answer in time") from error
+            raise SendAttemptError(SendOutcome.TIMEOUT, "no answer in time") from error
         except (ClientConnectionError, ClientError, OSError) as error:
             # Something of it may have arrived. Only the target could say that it
             # did not run, and nothing more will be heard on this connection.
-            raise SendingError(Fate.LOST, _shown(error)) from error
+            raise SendAttemptError(SendOutcome.LOST, _shown(error)) from error
 
     def _head_of(self, call: Call, response: ClientResponse) -> AnswerHead:
         """Check that an answer is this call's, and that it ran.
@@ -188,12 +190,14 @@
         headers = [(str(name), value) for name, value in response.headers.items()]
         head = self.wire_adapter.read_answer(response.status, headers)
         if head.is_other:
-            raise SendingError(Fate.WRONG_TARGET, "another target has the address")
+            raise SendAttemptError(
+                SendOutcome.WRONG_TARGET, "another target has the address"
+            )
         if head.not_run:
-            raise SendingError(Fate.NOT_RUN, f"status {head.status}")
+            raise SendAttemptError(SendOutcome.NOT_RUN, f"status {head.status}")
         if head.request_id != call.request_id:
             detail = f"an answer to {head.request_id or 'nobody'}"
-            raise SendingError(Fate.LOST, detail)
+            raise SendAttemptError(SendOutcome.LOST, detail)
         return head
 
 
--- a/sesameford/gateway/serve.py
+++ b/sesameford/gateway/serve.py
@@ -19,10 +19,10 @@
 from sesameford.gateway.candidates import NoTargetReason
 from sesameford.gateway.early_decision import EarlyCall, read_call
 from sesameford.gateway.forward import (
-    NOT_RUN_FATES,
+    NOT_RUN_OUTCOMES,
     Exchange,
-    Fate,
-    SendingError,
+    SendAttemptError,
+    SendOutcome,
     body_until,
 )
 from sesameford.gateway.own_answer import refuse
@@ -88,7 +88,7 @@
         lease = _place(deps, run)
         try:
             return await _send_once(deps, http, run, lease)
-        except SendingError as error:
+        except SendAttemptError as error:
             log_failure(deps, run, lease, error)
             _judge(deps, run, lease, error)
             if not _may_send_again(deps, run, error):
@@ -128,12 +128,12 @@
     """Send a call to one target and pass its answer on.
 
     Raises:
-        SendingError: It brought no whole answer.
+        SendAttemptError: It brought no whole answer.
     """
     left_seconds = run.until_seconds - deps.loop_time()
     if left_seconds < LEAST_LEFT_SECONDS:
         deps.placement.release(lease, deps.now())
-        raise SendingError(Fate.TIMEOUT, "no time is left")
+        raise SendAttemptError(SendOutcome.TIMEOUT, "no time is left")
     run.sendings += 1
     run.lease = lease
     run.tried |= {lease.target_id}
@@ -153,8 +153,8 @@
             async with body_until(run.until_seconds):
                 answer = await _pass_on(deps, http, run, lease, exchange)
         is_failed = run.status >= 500
-    except SendingError as error:
-        is_failed = error.fate in (Fate.LOST, Fate.BROKEN)
+    except SendAttemptError as error:
+        is_failed = error.outcome in (SendOutcome.LOST, SendOutcome.BROKEN)
         raise
     finally:
         # The caller may have given up on an answer that was lost.
@@ -180,10 +180,12 @@
     if run.route.is_stream and 200 <= head.status < 300:
         return await _pass_stream(deps, http, run, lease, exchange)
     if run.response is not None:
-        raise SendingError(Fate.BROKEN, f"status {head.status} in place of the rest")
+        raise SendAttemptError(
+            SendOutcome.BROKEN, f"status {head.status} in place of the rest"
+        )
     body = await exchange.whole_body()
     if head.status >= 500 and run.route.repeatable and not _is_last(run):
-        raise SendingError(Fate.BROKEN, f"status {head.status}")
+        raise SendAttemptError(SendOutcome.BROKEN, f"status {head.status}")
     run.status = head.status
     answer = web.Response(status=head.status, body=body)
     _set_headers(deps, answer, head.headers)
@@ -219,7 +221,7 @@
         if ready:
             await _write(http, run, response, ready)
     if run.passed is not None and run.passed.held_bytes:
-        raise SendingError(Fate.BROKEN, "the stream ended inside an event")
+        raise SendAttemptError(SendOutcome.BROKEN, "the stream ended inside an event")
     if run.response is None:
         await _write(http, run, response, b"")
     try:
@@ -244,18 +246,22 @@
 
 
 def _judge(
-    deps: GatewayDeps, run: CallContext, lease: Reservation, error: SendingError
+    deps: GatewayDeps, run: CallContext, lease: Reservation, error: SendAttemptError
 ) -> None:
     """Note what a failed sending shows of its target and of the call."""
-    if error.fate in (Fate.NEVER_SENT, Fate.LOST, Fate.WRONG_TARGET):
+    if error.outcome in (
+        SendOutcome.NEVER_SENT,
+        SendOutcome.LOST,
+        SendOutcome.WRONG_TARGET,
+    ):
         deps.placement.record_connection_failure(lease.target_id, deps.now())
-    if error.fate not in NOT_RUN_FATES:
+    if error.outcome not in NOT_RUN_OUTCOMES:
         run.may_have_run = True
-    if error.fate is Fate.NEVER_SENT:
+    if error.outcome is SendOutcome.NEVER_SENT:
         # No target had the call, so this was none of its attempts.
         run.sendings -= 1
         run.never_sent += 1
-    if error.fate is Fate.BROKEN and run.passed is not None:
+    if error.outcome is SendOutcome.BROKEN and run.passed is not None:
         run.passed.drop_partial()
 
 
@@ -275,9 +281,11 @@
         deps.gate.failed(run.call.prompt.cost_tokens)
 
 
-def _may_send_again(deps: GatewayDeps, run: CallContext, error: SendingError) -> bool:
+def _may_send_again(
+    deps: GatewayDeps, run: CallContext, error: SendAttemptError
+) -> bool:
     """Return whether a call goes to another target after a failure."""
-    if error.fate is Fate.TIMEOUT or _is_last(run):
+    if error.outcome is SendOutcome.TIMEOUT or _is_last(run):
         return False
     if run.never_sent > MOST_NEVER_SENT:
         return False
@@ -287,22 +295,22 @@
         return False
     if run.until_seconds - deps.loop_time() < LEAST_LEFT_SECONDS:
         return False
-    if error.fate is Fate.NEVER_SENT:
+    if error.outcome is SendOutcome.NEVER_SENT:
         return True
     return deps.second_sends.allowed(run.service, deps.routers(), deps.now())
 
 
-def _final(run: CallContext, error: SendingError) -> Exception:
+def _final(run: CallContext, error: SendAttemptError) -> Exception:
     """Return the end of a call that has no whole answer."""
     if run.response is not None:
         return CutError(run, error.detail)
     if not run.may_have_run:
-        is_gone = error.fate is Fate.WRONG_TARGET
+        is_gone = error.outcome is SendOutcome.WRONG_TARGET
         retry_seconds = SOON_RETRY_SECONDS if is_gone else RETRY_AFTER_SECONDS
-        return Refusal(503, error.fate.value, retry_seconds)
-    if error.fate is Fate.TIMEOUT:
+        return Refusal(503, error.outcome.value, retry_seconds)
+    if error.outcome is SendOutcome.TIMEOUT:
         return Refusal(504, "timeout")
-    return Refusal(502, error.fate.value)
+    return Refusal(502, error.outcome.value)
 
 
 def _cut(deps: GatewayDeps, http: web.BaseRequest, cut: CutError) -> web.StreamResponse:
