--- a/sesameford/gateway/call_context.py
+++ b/sesameford/gateway/call_context.py
@@ -120,7 +120,7 @@
     arrived_at_seconds: float
     until_seconds: float
     tried: frozenset[str] = frozenset()
-    sendings: int = 0
+    send_attempts: int = 0
     never_sent: int = 0
     may_have_run: bool = False
     response: web.StreamResponse | None = None
@@ -129,7 +129,7 @@
     first_event_seconds: float | None = None
     last_event_at_seconds: float = 0.0
     longest_pause_seconds: float = 0.0
-    lease: Reservation | None = None
+    reservation: Reservation | None = None
 
     @property
     def may_repeat(self) -> bool:
--- a/sesameford/gateway/call_log.py
+++ b/sesameford/gateway/call_log.py
@@ -27,7 +27,7 @@
             "route": run.route.route_id if run else refusal.route_id,
             "customer": run.customer if run else refusal.customer,
             "detail": refusal.detail,
-            "sendings": run.sendings if run else 0,
+            "sendings": run.send_attempts if run else 0,
             "revision": state.tree.revision if state else 0,
             "after_seconds": round(deps.now() - arrived_at_seconds, 3),
         },
@@ -45,7 +45,7 @@
             "address": lease.address,
             "fate": error.outcome.value,
             "detail": error.detail,
-            "sendings": run.sendings,
+            "sendings": run.send_attempts,
         },
     )
 
@@ -58,7 +58,7 @@
     if run.route.is_stream and run.first_event_seconds is not None:
         deps.metrics.paused(run.route.route_id, run.longest_pause_seconds)
     first = run.first_event_seconds
-    lease = run.lease
+    lease = run.reservation
     # The line of a call that failed is among the last to be left out.
     level = logging.WARNING if outcome == "cut" else logging.INFO
     logger.log(
@@ -69,7 +69,7 @@
             "route": run.route.route_id,
             "customer": run.customer or "",
             "targets": ",".join(run.tried),
-            "sendings": run.sendings,
+            "sendings": run.send_attempts,
             "status": run.status,
             "detail": detail,
             "took_seconds": round(took_seconds, 3),
--- a/sesameford/gateway/serve.py
+++ b/sesameford/gateway/serve.py
@@ -134,8 +134,8 @@
     if left_seconds < LEAST_LEFT_SECONDS:
         deps.placement.release(lease, deps.now())
         raise SendAttemptError(SendOutcome.TIMEOUT, "no time is left")
-    run.sendings += 1
-    run.lease = lease
+    run.send_attempts += 1
+    run.reservation = lease
     run.tried |= {lease.target_id}
     resume_after = run.call.resume_after
     if run.passed is not None and run.passed.last_event_id >= 0:
@@ -193,7 +193,7 @@
 
 
 def _is_last(run: CallContext) -> bool:
-    return run.sendings >= run.route.attempts
+    return run.send_attempts >= run.route.attempts
 
 
 async def _pass_stream(
@@ -259,7 +259,7 @@
         run.may_have_run = True
     if error.outcome is SendOutcome.NEVER_SENT:
         # No target had the call, so this was none of its attempts.
-        run.sendings -= 1
+        run.send_attempts -= 1
         run.never_sent += 1
     if error.outcome is SendOutcome.BROKEN and run.passed is not None:
         run.passed.drop_partial()
@@ -270,7 +270,7 @@
 
     Where a target failed before, that says nothing of how long prompts wait.
     """
-    if run.sendings == 1 and run.first_event_seconds is not None:
+    if run.send_attempts == 1 and run.first_event_seconds is not None:
         deps.gate.timeliness.began(run.first_event_seconds, run.route.objective_seconds)
 
 
