--- a/sesameford/gateway/engine_choice.py
+++ b/sesameford/gateway/engine_choice.py
@@ -42,9 +42,9 @@
 # Engines that are looked at for a prompt: the first of its parts' order, those that
 # keep most of it, and some by lot. Routers that hear of each other late and look at all
 # engines would all choose the same one.
-NEAR_ENGINES = 1
+HOME_ENGINES = 1
 KEEPING_ENGINES = 2
-LOT_ENGINES = 2
+RANDOM_ENGINES = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,12 +116,12 @@
     ranked = sorted(
         zip(usable, kept, strict=True), key=lambda one: order(one[0]), reverse=True
     )
-    looked_at = ranked[:NEAR_ENGINES]
-    others = sorted(ranked[NEAR_ENGINES:], key=lambda one: one[1], reverse=True)
+    looked_at = ranked[:HOME_ENGINES]
+    others = sorted(ranked[HOME_ENGINES:], key=lambda one: one[1], reverse=True)
     keeping = [one for one in others[:KEEPING_ENGINES] if one[1]]
     looked_at += keeping
     others = others[len(keeping) :]
-    looked_at += random.sample(others, min(LOT_ENGINES, len(others)))
+    looked_at += random.sample(others, min(RANDOM_ENGINES, len(others)))
     if permitted:
         looked_at += [
             one
--- a/tools/experiment.py
+++ b/tools/experiment.py
@@ -114,14 +114,17 @@
 
 
 @contextmanager
-def _looking_at(near_engines: int, lot_engines: int) -> Iterator[None]:
+def _looking_at(home_engines: int, random_engines: int) -> Iterator[None]:
     """Let placement look at so many engines meanwhile."""
-    before = engine_choice.NEAR_ENGINES, engine_choice.LOT_ENGINES
-    engine_choice.NEAR_ENGINES, engine_choice.LOT_ENGINES = near_engines, lot_engines
+    before = engine_choice.HOME_ENGINES, engine_choice.RANDOM_ENGINES
+    engine_choice.HOME_ENGINES, engine_choice.RANDOM_ENGINES = (
+        home_engines,
+        random_engines,
+    )
     try:
         yield
     finally:
-        engine_choice.NEAR_ENGINES, engine_choice.LOT_ENGINES = before
+        engine_choice.HOME_ENGINES, engine_choice.RANDOM_ENGINES = before
 
 
 POLICIES = {
