--- a/sesameford/gateway/call_context.py
+++ b/sesameford/gateway/call_context.py
@@ -1,4 +1,4 @@
-"""One call on its way through a router, and the parts of the router that it meets."""
+"""State of one call in a router, and the router's parts that handle calls."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -20,14 +20,17 @@
 from sesameford.gateway.share_gate import ShareGate
 from sesameford.gateway.target_record import Reservation
 
-# A caller is asked to come back after so long where nothing better is known: about
-# the time in which a resting target is tried again.
+# Default Retry-After: about the time after which a target in backoff is tried again.
 RETRY_AFTER_SECONDS = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayState:
-    """What is in force at one router."""
+    """The settings in force at one router, and what it derives from them.
+
+    ``engine_services`` are the services of model engines;
+    ``shortest_objective_seconds`` is the shortest objective of their routes.
+    """
 
     tree: EffectiveTree
     routes: RouteTable
@@ -36,7 +39,7 @@
 
 
 def make_gateway_state(tree: EffectiveTree) -> GatewayState:
-    """Return what follows from a tree for a router."""
+    """Derive a router's state from a tree that comes into force."""
     engines = frozenset(
         service.service
         for service in tree.services.values()
@@ -54,7 +57,11 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayDeps:
-    """The parts of a router that a call meets."""
+    """The parts of a router that handle a call.
+
+    ``now`` and ``loop_time`` are in seconds, of the router's clock and of the event
+    loop's; ``routers`` returns how many routers share the load.
+    """
 
     wire_adapter: WireAdapter
     sender: Sender
@@ -75,15 +82,15 @@
 
 
 class Refusal(SesamefordError):
-    """A final answer of the system's own.
+    """A final answer that the router gives itself instead of a target.
 
     Args:
         status: The HTTP status code; 429 and 503 say that the call has not run.
-        reason: A short, stable word.
-        retry_after_seconds: When a new try makes sense.
-        route_id: The call's route, where it is known.
-        customer: Whose call it is, where it is known.
-        detail: What decided, for the log.
+        reason: A short, stable code.
+        retry_after_seconds: The delay after which a retry makes sense.
+        route_id: The call's route, if determined.
+        customer: The call's customer, if determined.
+        detail: The figures behind the decision, for the log.
     """
 
     def __init__(
@@ -106,9 +113,12 @@
 
 @dataclass(slots=True)
 class CallContext:
-    """One call on its way; ``until_seconds`` is on the loop's clock.
+    """The state of one call; ``until_seconds`` is its deadline on the loop's clock.
 
-    Its targets are in the regions ``homes``, where it has any.
+    ``homes`` are the regions in which it may run, None for all. ``tried`` are the
+    targets that it was sent to, ``send_attempts`` how often, without the
+    ``failed_connects``. ``response`` is set once the caller has received a part of
+    the answer, and ``passed_events`` tracks the events of a resumable stream.
     """
 
     call: Call
@@ -121,10 +131,10 @@
     until_seconds: float
     tried: frozenset[str] = frozenset()
     send_attempts: int = 0
-    never_sent: int = 0
+    failed_connects: int = 0
     may_have_run: bool = False
     response: web.StreamResponse | None = None
-    passed: EventStream | None = None
+    passed_events: EventStream | None = None
     status: int = 0
     first_event_seconds: float | None = None
     last_event_at_seconds: float = 0.0
@@ -133,11 +143,11 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Whether a call that may have run can be sent again."""
+        """Whether a call that may have run may be sent again."""
         return self.route.repeatable or self.route.resumable
 
-    def event_came(self, now_seconds: float) -> bool:
-        """Note an event of the answer; return whether it is the first."""
+    def record_event(self, now_seconds: float) -> bool:
+        """Record the time of an event of the answer; return whether it is the first."""
         is_first = self.first_event_seconds is None
         if is_first:
             self.first_event_seconds = now_seconds - self.arrived_at_seconds
@@ -149,9 +159,9 @@
 
 
 class CutError(SesamefordError):
-    """A stream broke off that its caller has a part of."""
+    """A stream broke off after its caller received a part of it."""
 
-    def __init__(self, run: CallContext, detail: str) -> None:
+    def __init__(self, context: CallContext, detail: str) -> None:
         super().__init__(detail)
-        self.run = run
+        self.context = context
         self.detail = detail
--- a/sesameford/gateway/second_sends.py
+++ b/sesameford/gateway/second_sends.py
@@ -1,9 +1,9 @@
-"""How many requests one router may send a second time, per service.
+"""The retry budget of one router, per service.
 
-The budget is the fleet's: in any window a service may get second sendings for a
-fraction of its requests and a few more. Each router keeps to the fraction of its own
-requests and to its part of the few, so that the sum holds without a word between
-them, also while they are cut off from each other.
+The budget applies to the whole fleet: within any window a service may get retries for
+a fraction of its requests, plus a fixed spare number. Each router applies the fraction
+to its own requests and takes an equal part of the spare number, so that the fleet's
+sum holds without coordination, even while routers are partitioned from each other.
 """
 
 from collections import deque
@@ -11,50 +11,52 @@
 
 from sesameford.settings import RetryBudgetSettings
 
-# Other routers may see fewer requests than they sent, and windows of routers don't
-# begin together, so a part of the fraction is left unused.
-USED_PART = 0.7
+# Leaves a reserve: other routers may count fewer requests than they sent, and the
+# windows of routers do not start together.
+USED_BUDGET_FRACTION = 0.7
 
 
 @dataclass(slots=True)
 class _Window:
-    """Times of the first and the second sendings of one service."""
+    """Times in seconds of the first attempts and the retries of one service."""
 
     first: deque[float] = field(default_factory=deque)
-    second: deque[float] = field(default_factory=deque)
+    retries: deque[float] = field(default_factory=deque)
 
     def forget(self, before_seconds: float) -> None:
-        for times in (self.first, self.second):
+        for times in (self.first, self.retries):
             while times and times[0] < before_seconds:
                 times.popleft()
 
 
 class SecondSends:
-    """The budget of one router."""
+    """The retry budget of one router."""
 
     def __init__(self, budget: RetryBudgetSettings) -> None:
         self._budget = budget
         self._windows: dict[str, _Window] = {}
 
-    def requested(self, service: str, now_seconds: float) -> None:
+    def record_request(self, service: str, now_seconds: float) -> None:
         """Count a request for a service."""
         window = self._window(service, now_seconds)
         window.first.append(now_seconds)
 
-    def allowed(self, service: str, routers: int, now_seconds: float) -> bool:
-        """Return whether one more second sending fits, and count it if so.
+    def try_acquire(self, service: str, routers: int, now_seconds: float) -> bool:
+        """Return whether the budget allows one more retry, and count it if so.
 
         Args:
-            service: Where it would go.
-            routers: How many routers share the budget.
+            service: The service that the retry would go to.
+            routers: The number of routers that share the budget.
             now_seconds: The present time.
         """
         window = self._window(service, now_seconds)
-        spare = USED_PART * self._budget.spare_requests / max(routers, 1)
-        most = USED_PART * self._budget.fraction * len(window.first) + spare
-        if len(window.second) + 1 > most:
+        spare = USED_BUDGET_FRACTION * self._budget.spare_requests / max(routers, 1)
+        max_retries = (
+            USED_BUDGET_FRACTION * self._budget.fraction * len(window.first) + spare
+        )
+        if len(window.retries) + 1 > max_retries:
             return False
-        window.second.append(now_seconds)
+        window.retries.append(now_seconds)
         return True
 
     def _window(self, service: str, now_seconds: float) -> _Window:
@@ -64,5 +66,5 @@
 
 
 def make_second_sends(budget: RetryBudgetSettings) -> SecondSends:
-    """Return the budget of a router that has sent nothing yet."""
+    """Return the full budget of a router that has sent nothing yet."""
     return SecondSends(budget)
--- a/sesameford/gateway/serve.py
+++ b/sesameford/gateway/serve.py
@@ -1,4 +1,4 @@
-"""A call from its arrival to its final answer."""
+"""Serves one call: sends it to targets until one gives a final answer."""
 
 import asyncio
 
@@ -28,202 +28,218 @@
 from sesameford.gateway.own_answer import refuse
 from sesameford.gateway.target_record import Reservation
 
-# Targets to which no connection comes about, before a call is given up: each costs up
-# to the time to connect.
-MOST_NEVER_SENT = 3
-# A target whose address another one has now is passed over from now on, so a caller who
-# may not be sent to a second target is served by another as soon as it is back.
-SOON_RETRY_SECONDS = 0.02
-# An evacuation lasts until an operator ends it: nothing is gained by coming back often.
+# A call is refused after more failed connects than this: each may take the whole
+# connect timeout.
+MAX_FAILED_CONNECTS = 3
+# A target whose address now belongs to another one is excluded at once, so a caller
+# whose call may not go to a second target can retry right away.
+STALE_ADDRESS_RETRY_SECONDS = 0.02
+# An evacuation lasts until an operator ends it, so frequent retries are useless.
 EVACUATED_RETRY_SECONDS = 2.0
-# Without a target a caller comes back when there may be one.
+# Retry-After for each reason why no target is available.
 NO_TARGET_RETRY_SECONDS = {
     NoTargetReason.NO_TARGET: RETRY_AFTER_SECONDS,
     NoTargetReason.NOT_AT_HOME: RETRY_AFTER_SECONDS,
     NoTargetReason.COLD: RETRY_AFTER_SECONDS,
     NoTargetReason.EVACUATED: EVACUATED_RETRY_SECONDS,
 }
-# With less left than this a sending could bring no answer in time.
-LEAST_LEFT_SECONDS = 0.02
+# With less time left than this, a send attempt could not return an answer in time.
+MIN_TIME_LEFT_SECONDS = 0.02
 
 
-async def serve_call(deps: GatewayDeps, http: web.BaseRequest) -> web.StreamResponse:
-    """Answer one request of a caller."""
-    early: EarlyCall | None = take_decision(http)
+async def serve_call(deps: GatewayDeps, request: web.BaseRequest) -> web.StreamResponse:
+    """Handle one HTTP request of a caller and return its answer.
+
+    Raises:
+        CancelledError: The caller left.
+    """
+    early: EarlyCall | None = take_decision(request)
     call = early.call if early is not None else None
     arrived_at_seconds = early.arrived_at_seconds if early is not None else deps.now()
-    run = None
+    context = None
     try:
         if call is None:
-            call = read_call(deps, http.method, http.raw_path, http.headers)
+            call = read_call(deps, request.method, request.raw_path, request.headers)
         admitted = early.admitted if early else decide(deps, call, arrived_at_seconds)
-        run = await begin(deps, http, call, admitted, arrived_at_seconds)
+        context = await begin(deps, request, call, admitted, arrived_at_seconds)
         deps.metrics.opened()
         try:
-            response = await _run_to_answer(deps, http, run)
+            response = await _send_until_answered(deps, request, context)
         finally:
             deps.metrics.closed()
-        log_end(deps, run, "answered", "")
+        log_end(deps, context, "answered", "")
         return response
     except CutError as cut:
-        return _cut(deps, http, cut)
+        return _cut_stream(deps, request, cut)
     except Refusal as refusal:
-        return refuse(deps, call, run, refusal, arrived_at_seconds).for_library()
+        return refuse(deps, call, context, refusal, arrived_at_seconds).for_library()
     except asyncio.CancelledError:
-        if run is not None:
-            log_end(deps, run, "caller-left", "")
+        if context is not None:
+            log_end(deps, context, "caller-left", "")
         raise
 
 
-async def _run_to_answer(
-    deps: GatewayDeps, http: web.BaseRequest, run: CallContext
+async def _send_until_answered(
+    deps: GatewayDeps, request: web.BaseRequest, context: CallContext
 ) -> web.StreamResponse:
-    """Send a call to one target after another until there is an answer.
+    """Send a call to one target after another until one answers.
 
     Raises:
-        Refusal: There is none.
+        Refusal: No target answered and the caller has received nothing.
+        CutError: The answer broke off after the caller received a part of it.
     """
-    deps.second_sends.requested(run.service, deps.now())
+    deps.second_sends.record_request(context.service, deps.now())
     while True:
-        lease = _place(deps, run)
+        lease = _choose_target(deps, context)
         try:
-            return await _send_once(deps, http, run, lease)
+            return await _send_once(deps, request, context, lease)
         except SendAttemptError as error:
-            log_failure(deps, run, lease, error)
-            _judge(deps, run, lease, error)
-            if not _may_send_again(deps, run, error):
-                raise _final(run, error) from error
+            log_failure(deps, context, lease, error)
+            _record_failure(deps, context, lease, error)
+            if not _may_send_again(deps, context, error):
+                raise _final_error(context, error) from error
 
 
-def _place(deps: GatewayDeps, run: CallContext) -> Reservation:
-    """Choose a target.
+def _choose_target(deps: GatewayDeps, context: CallContext) -> Reservation:
+    """Choose a target and reserve a slot there.
 
     Raises:
-        Refusal: None can take the call.
+        Refusal: No target can take the call.
     """
     state = deps.state()
-    engine = state.tree.services.get(run.service) if state is not None else None
+    engine = state.tree.services.get(context.service) if state is not None else None
     lease = deps.placement.choose(
-        run.service,
-        run.call.prompt,
+        context.service,
+        context.call.prompt,
         engine,
-        run.route.objective_seconds,
-        run.tried,
+        context.route.objective_seconds,
+        context.tried,
         deps.now(),
-        run.homes,
+        context.homes,
     )
     if lease is None:
-        if run.may_have_run:
+        if context.may_have_run:
             raise Refusal(502, "no-target-left")
         reason = deps.placement.candidates.no_target_reason(
-            run.service, run.tried, deps.now(), run.homes
+            context.service, context.tried, deps.now(), context.homes
         )
         raise Refusal(503, reason.value, NO_TARGET_RETRY_SECONDS[reason])
     return lease
 
 
 async def _send_once(
-    deps: GatewayDeps, http: web.BaseRequest, run: CallContext, lease: Reservation
+    deps: GatewayDeps,
+    request: web.BaseRequest,
+    context: CallContext,
+    lease: Reservation,
 ) -> web.StreamResponse:
-    """Send a call to one target and pass its answer on.
+    """Send a call to one target and forward its answer to the caller.
 
     Raises:
-        SendAttemptError: It brought no whole answer.
+        SendAttemptError: The attempt returned no complete answer.
     """
-    left_seconds = run.until_seconds - deps.loop_time()
-    if left_seconds < LEAST_LEFT_SECONDS:
+    left_seconds = context.until_seconds - deps.loop_time()
+    if left_seconds < MIN_TIME_LEFT_SECONDS:
         deps.placement.release(lease, deps.now())
         raise SendAttemptError(SendOutcome.TIMEOUT, "no time is left")
-    run.send_attempts += 1
-    run.reservation = lease
-    run.tried |= {lease.target_id}
-    resume_after = run.call.resume_after
-    if run.passed is not None and run.passed.last_event_id >= 0:
-        resume_after = str(run.passed.last_event_id)
-    sending = SendAttempt(
-        lease.target_id, run.customer, left_seconds, resume_after, lease.copy_from
+    context.send_attempts += 1
+    context.reservation = lease
+    context.tried |= {lease.target_id}
+    resume_after = context.call.resume_after
+    if context.passed_events is not None and context.passed_events.last_event_id >= 0:
+        resume_after = str(context.passed_events.last_event_id)
+    attempt = SendAttempt(
+        lease.target_id, context.customer, left_seconds, resume_after, lease.copy_from
     )
 
     is_failed = False
     try:
         async with deps.sender.exchange(
-            run.call, run.body, lease.address, sending, run.until_seconds
+            context.call, context.body, lease.address, attempt, context.until_seconds
         ) as exchange:
             deps.placement.record_answer_data(lease, deps.now())
-            async with body_until(run.until_seconds):
-                answer = await _pass_on(deps, http, run, lease, exchange)
-        is_failed = run.status >= 500
+            async with body_until(context.until_seconds):
+                answer = await _pass_on(deps, request, context, lease, exchange)
+        is_failed = context.status >= 500
     except SendAttemptError as error:
         is_failed = error.outcome in (SendOutcome.LOST, SendOutcome.BROKEN)
         raise
     finally:
-        # The caller may have given up on an answer that was lost.
+        # A caller may leave because the answer was lost, which counts as a failure.
         if is_failed or deps.placement.is_lost(lease, deps.now()):
-            _note_failed(deps, run, lease)
+            _record_failed_request(deps, context, lease)
         deps.placement.release(lease, deps.now())
     if not is_failed:
         deps.placement.record_success(lease.target_id)
-        if not run.route.is_stream:
-            deps.placement.record_work_time(run.service, lease, deps.now())
+        if not context.route.is_stream:
+            deps.placement.record_work_time(context.service, lease, deps.now())
     return answer
 
 
 async def _pass_on(
     deps: GatewayDeps,
-    http: web.BaseRequest,
-    run: CallContext,
+    request: web.BaseRequest,
+    context: CallContext,
     lease: Reservation,
     exchange: Exchange,
 ) -> web.StreamResponse:
     head = exchange.head
-    run.status = run.status or head.status
-    if run.route.is_stream and 200 <= head.status < 300:
-        return await _pass_stream(deps, http, run, lease, exchange)
-    if run.response is not None:
+    context.status = context.status or head.status
+    if context.route.is_stream and 200 <= head.status < 300:
+        return await _pass_stream(deps, request, context, lease, exchange)
+    if context.response is not None:
         raise SendAttemptError(
             SendOutcome.BROKEN, f"status {head.status} in place of the rest"
         )
     body = await exchange.whole_body()
-    if head.status >= 500 and run.route.repeatable and not _is_last(run):
+    if (
+        head.status >= 500
+        and context.route.repeatable
+        and not _is_last_attempt(context)
+    ):
         raise SendAttemptError(SendOutcome.BROKEN, f"status {head.status}")
-    run.status = head.status
+    context.status = head.status
     answer = web.Response(status=head.status, body=body)
     _set_headers(deps, answer, head.headers)
     return answer
 
 
-def _is_last(run: CallContext) -> bool:
-    return run.send_attempts >= run.route.attempts
+def _is_last_attempt(context: CallContext) -> bool:
+    return context.send_attempts >= context.route.attempts
 
 
 async def _pass_stream(
     deps: GatewayDeps,
-    http: web.BaseRequest,
-    run: CallContext,
+    request: web.BaseRequest,
+    context: CallContext,
     lease: Reservation,
     exchange: Exchange,
 ) -> web.StreamResponse:
-    """Pass events on as they come; only whole ones where it may be resumed."""
-    response = run.response
+    """Forward a stream as it arrives; only complete events if it is resumable."""
+    response = context.response
     if response is None:
         response = web.StreamResponse(status=exchange.head.status)
         _set_headers(deps, response, exchange.head.headers)
-    if run.route.resumable and run.passed is None:
-        run.passed = EventStream()
+    if context.route.resumable and context.passed_events is None:
+        context.passed_events = EventStream()
     async for chunk in exchange.chunks():
-        if run.event_came(deps.now()):
-            if run.call.prompt is not None:
-                deps.gate.began(run.customer or "", run.call.prompt.cost_tokens)
-                _note_begin(deps, run)
+        if context.record_event(deps.now()):
+            if context.call.prompt is not None:
+                deps.gate.began(context.customer or "", context.call.prompt.cost_tokens)
+                _record_first_event_time(deps, context)
             deps.placement.record_first_event(lease, deps.now())
         deps.placement.record_answer_data(lease, deps.now())
-        ready = run.passed.feed(chunk) if run.passed is not None else chunk
+        ready = (
+            context.passed_events.feed(chunk)
+            if context.passed_events is not None
+            else chunk
+        )
         if ready:
-            await _write(http, run, response, ready)
-    if run.passed is not None and run.passed.held_bytes:
+            await _write(request, context, response, ready)
+    if context.passed_events is not None and context.passed_events.held_bytes:
         raise SendAttemptError(SendOutcome.BROKEN, "the stream ended inside an event")
-    if run.response is None:
-        await _write(http, run, response, b"")
+    if context.response is None:
+        await _write(request, context, response, b"")
     try:
         await response.write_eof()
     except ConnectionError as error:
@@ -232,23 +248,30 @@
 
 
 async def _write(
-    http: web.BaseRequest, run: CallContext, response: web.StreamResponse, data: bytes
+    request: web.BaseRequest,
+    context: CallContext,
+    response: web.StreamResponse,
+    data: bytes,
 ) -> None:
-    """Write to the caller; one who left is the end of the call."""
+    """Write to the caller.
+
+    Raises:
+        CancelledError: The caller closed the connection.
+    """
     try:
-        if run.response is None:
-            run.response = response
-            await response.prepare(http)
+        if context.response is None:
+            context.response = response
+            await response.prepare(request)
         if data:
             await response.write(data)
     except ConnectionError as error:
         raise asyncio.CancelledError from error
 
 
-def _judge(
-    deps: GatewayDeps, run: CallContext, lease: Reservation, error: SendAttemptError
+def _record_failure(
+    deps: GatewayDeps, context: CallContext, lease: Reservation, error: SendAttemptError
 ) -> None:
-    """Note what a failed sending shows of its target and of the call."""
+    """Record what a failed send attempt shows about its target and the call."""
     if error.outcome in (
         SendOutcome.NEVER_SENT,
         SendOutcome.LOST,
@@ -256,70 +279,79 @@
     ):
         deps.placement.record_connection_failure(lease.target_id, deps.now())
     if error.outcome not in NOT_RUN_OUTCOMES:
-        run.may_have_run = True
+        context.may_have_run = True
     if error.outcome is SendOutcome.NEVER_SENT:
-        # No target had the call, so this was none of its attempts.
-        run.send_attempts -= 1
-        run.never_sent += 1
-    if error.outcome is SendOutcome.BROKEN and run.passed is not None:
-        run.passed.drop_partial()
+        # No target received the call, so it does not count as an attempt.
+        context.send_attempts -= 1
+        context.failed_connects += 1
+    if error.outcome is SendOutcome.BROKEN and context.passed_events is not None:
+        context.passed_events.drop_partial()
 
 
-def _note_begin(deps: GatewayDeps, run: CallContext) -> None:
-    """Note how long a caller waited for its answer to begin.
+def _record_first_event_time(deps: GatewayDeps, context: CallContext) -> None:
+    """Record how long a caller waited for the first event.
 
-    Where a target failed before, that says nothing of how long prompts wait.
+    Only of the first attempt: after a failed one the time includes the failure and
+    says nothing about how long prompts wait.
     """
-    if run.send_attempts == 1 and run.first_event_seconds is not None:
-        deps.gate.timeliness.began(run.first_event_seconds, run.route.objective_seconds)
+    if context.send_attempts == 1 and context.first_event_seconds is not None:
+        deps.gate.timeliness.began(
+            context.first_event_seconds, context.route.objective_seconds
+        )
 
 
-def _note_failed(deps: GatewayDeps, run: CallContext, lease: Reservation) -> None:
-    """Note a request that its target took and failed."""
+def _record_failed_request(
+    deps: GatewayDeps, context: CallContext, lease: Reservation
+) -> None:
+    """Record a request that its target accepted and failed."""
     deps.placement.record_bad_answer(lease.target_id)
-    if run.call.prompt is not None and run.first_event_seconds is None:
-        deps.gate.failed(run.call.prompt.cost_tokens)
+    if context.call.prompt is not None and context.first_event_seconds is None:
+        deps.gate.failed(context.call.prompt.cost_tokens)
 
 
 def _may_send_again(
-    deps: GatewayDeps, run: CallContext, error: SendAttemptError
+    deps: GatewayDeps, context: CallContext, error: SendAttemptError
 ) -> bool:
-    """Return whether a call goes to another target after a failure."""
-    if error.outcome is SendOutcome.TIMEOUT or _is_last(run):
+    """Return whether a call may be sent to another target after a failure."""
+    if error.outcome is SendOutcome.TIMEOUT or _is_last_attempt(context):
         return False
-    if run.never_sent > MOST_NEVER_SENT:
+    if context.failed_connects > MAX_FAILED_CONNECTS:
         return False
-    if run.may_have_run and not run.may_repeat:
+    if context.may_have_run and not context.may_repeat:
         return False
-    if run.response is not None and not run.route.resumable:
+    if context.response is not None and not context.route.resumable:
         return False
-    if run.until_seconds - deps.loop_time() < LEAST_LEFT_SECONDS:
+    if context.until_seconds - deps.loop_time() < MIN_TIME_LEFT_SECONDS:
         return False
     if error.outcome is SendOutcome.NEVER_SENT:
         return True
-    return deps.second_sends.allowed(run.service, deps.routers(), deps.now())
+    return deps.second_sends.try_acquire(context.service, deps.routers(), deps.now())
 
 
-def _final(run: CallContext, error: SendAttemptError) -> Exception:
-    """Return the end of a call that has no whole answer."""
-    if run.response is not None:
-        return CutError(run, error.detail)
-    if not run.may_have_run:
-        is_gone = error.outcome is SendOutcome.WRONG_TARGET
-        retry_seconds = SOON_RETRY_SECONDS if is_gone else RETRY_AFTER_SECONDS
+def _final_error(context: CallContext, error: SendAttemptError) -> Exception:
+    """Return the error that ends a call without a complete answer."""
+    if context.response is not None:
+        return CutError(context, error.detail)
+    if not context.may_have_run:
+        is_wrong_target = error.outcome is SendOutcome.WRONG_TARGET
+        retry_seconds = (
+            STALE_ADDRESS_RETRY_SECONDS if is_wrong_target else RETRY_AFTER_SECONDS
+        )
         return Refusal(503, error.outcome.value, retry_seconds)
     if error.outcome is SendOutcome.TIMEOUT:
         return Refusal(504, "timeout")
     return Refusal(502, error.outcome.value)
 
 
-def _cut(deps: GatewayDeps, http: web.BaseRequest, cut: CutError) -> web.StreamResponse:
-    """End a stream without its end mark, so that its caller sees that it is cut."""
-    log_end(deps, cut.run, "cut", cut.detail)
-    if http.transport is not None:
-        http.transport.close()
-    assert cut.run.response is not None
-    return cut.run.response
+def _cut_stream(
+    deps: GatewayDeps, request: web.BaseRequest, cut: CutError
+) -> web.StreamResponse:
+    """Close the connection without the end mark, so the caller detects the cut."""
+    log_end(deps, cut.context, "cut", cut.detail)
+    if request.transport is not None:
+        request.transport.close()
+    assert cut.context.response is not None
+    return cut.context.response
 
 
 def _set_headers(
--- a/tests/test_second_sends.py
+++ b/tests/test_second_sends.py
@@ -1,4 +1,4 @@
-"""The budget of second sendings, over a fleet of routers that don't speak."""
+"""The retry budget over a fleet of routers that exchange no messages."""
 
 from random import Random
 
@@ -18,45 +18,47 @@
     rate=st.floats(1.0, 60.0),
     failing=st.floats(0.0, 1.0),
 )
-def test_the_fleet_s_budget_holds_in_each_window(routers, seed, rate, failing):
-    """Servers fail a part of all requests for a while, and every router sends again.
+def test_the_sum_of_all_routers_stays_within_the_budget_in_each_window(
+    routers, seed, rate, failing
+):
+    """Servers fail a part of all requests for a while, and every router retries.
 
-    If the sum went beyond the budget, the second sendings would keep servers busy
-    that can't even answer the first ones.
+    Beyond the budget, retries would overload servers that already fail to answer the
+    first attempts.
     """
     random = Random(seed)
     fleet = [make_second_sends(BUDGET) for _ in range(routers)]
-    now, first, second = 0.0, [], []
+    now, first, retries = 0.0, [], []
     while now < 25.0:
         now += random.expovariate(rate)
         router = random.choice(fleet)
-        router.requested("pool", now)
+        router.record_request("pool", now)
         first.append(now)
         is_failing = 5.0 < now < 20.0 and random.random() < failing
-        if is_failing and router.allowed("pool", routers, now):
-            second.append(now)
-    for end in second:
+        if is_failing and router.try_acquire("pool", routers, now):
+            retries.append(now)
+    for end in retries:
         begin = end - BUDGET.window_seconds
-        asked = sum(begin < one <= end for one in first)
-        sent_again = sum(begin < one <= end for one in second)
-        assert sent_again <= BUDGET.fraction * asked + BUDGET.spare_requests
+        requested = sum(begin < one <= end for one in first)
+        retried = sum(begin < one <= end for one in retries)
+        assert retried <= BUDGET.fraction * requested + BUDGET.spare_requests
 
 
-def test_a_quiet_service_has_its_part_of_the_spare_ones():
+def test_a_service_without_requests_gets_its_part_of_the_spare_retries():
     sends = make_second_sends(BUDGET)
-    allowed = sum(sends.allowed("pool", 5, 1.0) for _ in range(50))
+    allowed = sum(sends.try_acquire("pool", 5, 1.0) for _ in range(50))
     assert 5 <= allowed <= BUDGET.spare_requests / 5
 
 
-def test_the_budget_of_one_service_is_not_another_s():
+def test_each_service_has_its_own_budget():
     sends = make_second_sends(BUDGET)
-    while sends.allowed("pool", 1, 1.0):
+    while sends.try_acquire("pool", 1, 1.0):
         pass
-    assert sends.allowed("desk", 1, 1.0)
+    assert sends.try_acquire("desk", 1, 1.0)
 
 
-def test_what_was_sent_again_long_ago_counts_no_more():
+def test_retries_outside_the_window_no_longer_count():
     sends = make_second_sends(BUDGET)
-    while sends.allowed("pool", 1, 1.0):
+    while sends.try_acquire("pool", 1, 1.0):
         pass
-    assert sends.allowed("pool", 1, 1.0 + BUDGET.window_seconds + 0.1)
+    assert sends.try_acquire("pool", 1, 1.0 + BUDGET.window_seconds + 0.1)
