--- a/sesameford/gateway/engine_backlog.py
+++ b/sesameford/gateway/engine_backlog.py
@@ -1,144 +1,159 @@
-"""How long the prompts at a model engine will take to be read, as one router sees it.
+"""Estimates how long a model engine needs to read the prompts that wait there.
 
-An engine reads prompts one after another at some tokens a second, and says so late or
-not at all. A router reckons what is left of each prompt that it sent there, from the
-time at which its reading should have begun, and is sent the same sum of all other
-routers. Nothing is left of a prompt once its first event has come, so errors don't add
-up, and an engine that was slow for a second is not avoided for ten.
+An engine reads prompts one after another at some tokens a second, and reports its
+progress late or not at all. A router estimates the unread rest of each prompt that it
+sent, from the time at which reading should have started, and receives the same sum of
+all other routers. A prompt counts as read once its first event arrives, so errors do
+not add up, and an engine that was slow for a second is not avoided for ten.
 """
 
 from dataclasses import dataclass, field
 
-# Tokens that an engine reads in a second, until the first prompts show it. A guess on
-# the slow side spreads the first prompts over more engines, which does no harm.
-FIRST_RATE_TOKENS = 30_000.0
-# What engines of the same kind have shown counts like so many seconds of reading. One
-# that was once slow gets few prompts that could show otherwise; this lets it be tried
-# again.
-PRIOR_SECONDS = 0.2
-LOWEST_RATE_TOKENS = 2_000.0
-# What was observed loses two thirds of its weight in this time: some twenty prompts at
-# a busy engine.
-REMEMBERED_SECONDS = 4.0
-# Fewer tokens than this say more of the network than of the engine.
-TELLING_TOKENS = 1_500
-# A prompt whose first event is later than expected by this counts as not read at all:
-# the engine is slower than it looked, and what was sent after it is not read either.
+# The reading rate before the first prompts show it. Too low a rate spreads the first
+# prompts over more engines, which does no harm.
+INITIAL_RATE_TOKENS_PER_SECOND = 30_000.0
+# The weight of the rate of all engines of the same kind, in seconds of reading. It lets
+# an engine that was slow be tried again: it gets few prompts that could show that it
+# has recovered.
+PRIOR_WEIGHT_SECONDS = 0.2
+MIN_RATE_TOKENS_PER_SECOND = 2_000.0
+# With frequent samples, earlier ones lose two thirds of their weight in this time: some
+# twenty prompts at a busy engine.
+SAMPLE_DECAY_SECONDS = 4.0
+# With fewer tokens than this the time depends more on the network than on the engine.
+MIN_SAMPLE_TOKENS = 1_500
+# A prompt whose first event is overdue by this counts as wholly unread: the engine is
+# slower than estimated, and has not read the prompts sent after it either.
 OVERDUE_EVENT_SECONDS = 0.15
-# One that is later than this is taken as lost with its answer. The engine is through
-# with it, or does nothing at all, and then it is passed over as silent. Counted until
-# their callers give up, lost answers of some seconds make engines look full that have
-# places left, and everybody's callers are turned away for it.
-LOST_SECONDS = 1.0
+# A prompt overdue by more than this counts as lost with its answer: the engine has
+# finished it, or is silent and excluded for that. If lost requests counted until their
+# callers give up, some seconds of lost answers would make engines with free slots look
+# full, and all customers' callers would be rejected.
+LOST_ANSWER_SECONDS = 1.0
 
 
 @dataclass(slots=True)
 class ReadingRate:
-    """Tokens that an engine, or all of one kind, was seen to read in a second."""
+    """The observed reading rate of an engine, or of all engines of one kind."""
 
     _tokens: float = 0.0
     _seconds: float = 0.0
-    _learnt_at_seconds: float = 0.0
+    _updated_at_seconds: float = 0.0
 
     def rate_tokens(self, prior_tokens: float) -> float:
-        """Return the rate, given what it was taken for before anything was seen."""
-        tokens = self._tokens + prior_tokens * PRIOR_SECONDS
-        return max(tokens / (self._seconds + PRIOR_SECONDS), LOWEST_RATE_TOKENS)
+        """Return the rate in tokens a second.
 
-    def observed(self, tokens: int, took_seconds: float, now_seconds: float) -> None:
-        """Learn from a first event.
+        Args:
+            prior_tokens: The rate in tokens a second assumed without observations.
+        """
+        tokens = self._tokens + prior_tokens * PRIOR_WEIGHT_SECONDS
+        return max(
+            tokens / (self._seconds + PRIOR_WEIGHT_SECONDS), MIN_RATE_TOKENS_PER_SECOND
+        )
+
+    def record_reading(
+        self, tokens: int, took_seconds: float, now_seconds: float
+    ) -> None:
+        """Update the rate when a first event arrives.
 
         Args:
-            tokens: What the engine had to read until then.
-            took_seconds: How long it read them.
+            tokens: The tokens that the engine read until then.
+            took_seconds: The time in which it read them.
             now_seconds: The present time.
         """
-        if tokens < TELLING_TOKENS:
+        if tokens < MIN_SAMPLE_TOKENS:
             return
-        since_seconds = max(now_seconds - self._learnt_at_seconds, 0.0)
-        kept = max(1.0 - since_seconds / REMEMBERED_SECONDS, 0.0)
-        self._learnt_at_seconds = now_seconds
-        self._tokens = kept * self._tokens + tokens
-        self._seconds = kept * self._seconds + max(took_seconds, 1e-3)
+        since_seconds = max(now_seconds - self._updated_at_seconds, 0.0)
+        remaining_weight = max(1.0 - since_seconds / SAMPLE_DECAY_SECONDS, 0.0)
+        self._updated_at_seconds = now_seconds
+        self._tokens = remaining_weight * self._tokens + tokens
+        self._seconds = remaining_weight * self._seconds + max(took_seconds, 1e-3)
 
 
 @dataclass(frozen=True, slots=True)
-class _Unread:
-    """One prompt: when its reading should begin, and its first event come."""
+class _UnreadPrompt:
+    """One prompt, with the estimated times of its reading's start and first event."""
 
     tokens: int
-    begins_at_seconds: float
+    reading_starts_at_seconds: float
     due_at_seconds: float
 
 
 @dataclass(slots=True)
 class EngineBacklog:
-    """The prompts at one engine that are not read yet.
+    """The unread prompts at one engine.
 
-    ``kind_rate`` is what all engines of its kind have shown, ``rate`` what this one
-    has; ``others_unread_tokens`` are those of all other routers.
+    ``kind_rate`` is the observed rate of all engines of its kind, ``rate`` that of
+    this one; ``others_unread_tokens`` are those of all other routers' prompts.
     """
 
     kind_rate: ReadingRate = field(default_factory=ReadingRate)
     rate: ReadingRate = field(default_factory=ReadingRate)
     others_unread_tokens: int = 0
-    _unread: dict[int, _Unread] = field(default_factory=dict)
+    _unread_prompts: dict[int, _UnreadPrompt] = field(default_factory=dict)
 
     @property
     def rate_tokens(self) -> float:
-        """Return how many tokens the engine reads in a second."""
-        return self.rate.rate_tokens(self.kind_rate.rate_tokens(FIRST_RATE_TOKENS))
+        """The estimated number of tokens that the engine reads in a second."""
+        return self.rate.rate_tokens(
+            self.kind_rate.rate_tokens(INITIAL_RATE_TOKENS_PER_SECOND)
+        )
 
     def unread_tokens(self, now_seconds: float) -> int:
-        """Return what is left to read of this router's prompts."""
-        return sum(self._left(one, now_seconds) for one in self._unread.values())
+        """Return the unread tokens of this router's prompts."""
+        return sum(
+            self._tokens_left(prompt, now_seconds)
+            for prompt in self._unread_prompts.values()
+        )
 
     def ahead_tokens(self, now_seconds: float) -> int:
-        """Return what is to be read before a prompt that is sent now."""
+        """Return the tokens to be read before a prompt that is sent now."""
         return self.unread_tokens(now_seconds) + self.others_unread_tokens
 
     def wait_seconds(self, now_seconds: float) -> float:
-        """Return how long until all that was sent will have been read."""
+        """Return the time in seconds until all prompts sent so far are read."""
         return self.read_seconds(self.ahead_tokens(now_seconds))
 
     def read_seconds(self, tokens: int) -> float:
-        """Return how long the engine reads so many tokens."""
+        """Return the time in seconds that the engine needs to read some tokens."""
         return tokens / self.rate_tokens
 
-    def sent(
+    def add(
         self, number: int, tokens: int, due_at_seconds: float, now_seconds: float
     ) -> None:
         """Add a prompt.
 
         Args:
-            number: By which it is taken out again.
-            tokens: Those that the engine has to read.
-            due_at_seconds: When its first event is expected.
+            number: The number of its reservation.
+            tokens: The tokens that the engine has to read for it.
+            due_at_seconds: The time at which its first event is expected.
             now_seconds: The present time.
         """
-        begins_at_seconds = now_seconds + self.wait_seconds(now_seconds)
-        self._unread[number] = _Unread(tokens, begins_at_seconds, due_at_seconds)
-
-    def read(self, number: int) -> None:
-        """Take a prompt out that has been read, or will never be; once is enough."""
-        self._unread.pop(number, None)
-
-    def _left(self, one: _Unread, now_seconds: float) -> int:
-        overdue_seconds = now_seconds - one.due_at_seconds
-        if overdue_seconds > LOST_SECONDS:
+        reading_starts_at_seconds = now_seconds + self.wait_seconds(now_seconds)
+        self._unread_prompts[number] = _UnreadPrompt(
+            tokens, reading_starts_at_seconds, due_at_seconds
+        )
+
+    def remove(self, number: int) -> None:
+        """Remove a prompt that is read or never will be; idempotent."""
+        self._unread_prompts.pop(number, None)
+
+    def _tokens_left(self, prompt: _UnreadPrompt, now_seconds: float) -> int:
+        overdue_seconds = now_seconds - prompt.due_at_seconds
+        if overdue_seconds > LOST_ANSWER_SECONDS:
             return 0
         if overdue_seconds > OVERDUE_EVENT_SECONDS:
-            return one.tokens
-        reading_seconds = max(now_seconds - one.begins_at_seconds, 0.0)
+            return prompt.tokens
+        reading_seconds = max(now_seconds - prompt.reading_starts_at_seconds, 0.0)
         if not reading_seconds:
-            return one.tokens
-        return max(one.tokens - round(reading_seconds * self.rate_tokens), 0)
+            return prompt.tokens
+        return max(prompt.tokens - round(reading_seconds * self.rate_tokens), 0)
 
 
 def make_engine_backlog(kind_rate: ReadingRate | None = None) -> EngineBacklog:
-    """Return the backlog of an engine that nothing is known of.
+    """Return the empty backlog of an engine without observations.
 
     Args:
-        kind_rate: What all engines of its kind have shown, where it has others.
+        kind_rate: The observed rate of all engines of its kind, None if unknown.
     """
     return EngineBacklog(kind_rate or ReadingRate())
--- a/sesameford/gateway/engine_memory.py
+++ b/sesameford/gateway/engine_memory.py
@@ -1,10 +1,10 @@
-"""Which shared parts of prompts an engine remembers, as far as routers know.
+"""A router's model of which shared parts of prompts an engine has cached.
 
-An engine keeps parts in limited memory, least recently used first to go, and says so
-late or not at all. Routers tell each other which parts they send where and how many
-other tokens, and each plays the engine's memory after. Were each part taken as kept at
-its home for some fixed time, much would be read again where it is believed to be kept,
-and first events would come later than expected.
+An engine caches parts in limited memory, evicts the least recently used ones, and
+reports this late or not at all. Routers report to each other which parts and how many
+other tokens they send to each engine, and each router simulates the engine's memory.
+If each part counted as cached at its home for a fixed time, many parts would have to be
+read again where they are assumed cached, and first events would be late.
 """
 
 from collections import OrderedDict
@@ -14,109 +14,109 @@
 from sesameford.gateway.calls import Prompt, PromptPart
 from sesameford.load_messages import UsedPart, UsedParts
 
-# The part of an engine's memory that is taken as usable. Requests that run hold blocks
-# that are not full, and what is known of other routers is late and may be lost.
-USABLE_PART = 0.9
-# The memory of an engine that declares none.
-UNKNOWN_MEMORY_TOKENS = 200_000
-# A part that is used again is reported again once so much of the memory was filled
-# since: others then know well before it would seem forgotten, and a hot part costs no
-# message for each of its requests.
-REPORTED_AGAIN_PART = 0.25
+# The part of an engine's memory that the model uses. Running requests hold partly
+# filled blocks, and reports of other routers are late and may be lost.
+USABLE_MEMORY_FRACTION = 0.9
+# The memory of an engine that declares no size.
+DEFAULT_MEMORY_TOKENS = 200_000
+# A part in repeated use is reported again once this fraction of the memory was filled
+# since: others receive the report well before they would evict the part, and a hot
+# part does not cost a message for each request.
+REPORT_INTERVAL_MEMORY_FRACTION = 0.25
 
 
 @dataclass(slots=True)
 class EngineMemory:
-    """The memory of one engine, played after what went through it.
+    """The simulated memory of one engine.
 
-    ``_kept`` has tokens by part, least recently used first. Tokens that no other
-    request shares stand there under numbers below zero.
+    ``_cached`` holds tokens by part, least recently used first. Tokens that no other
+    request shares are stored there under negative ids.
     """
 
-    _kept: OrderedDict[int, int] = field(default_factory=OrderedDict)
-    _kept_tokens: int = 0
+    _cached: OrderedDict[int, int] = field(default_factory=OrderedDict)
+    _cached_tokens: int = 0
     _filled_tokens: int = 0
-    _unshared: int = 0
+    _last_unshared_id: int = 0
     _reported_at_tokens: dict[int, int] = field(default_factory=dict)
-    _news: dict[int, int] = field(default_factory=dict)
-    _other_news_tokens: int = 0
+    _unreported_parts: dict[int, int] = field(default_factory=dict)
+    _unreported_other_tokens: int = 0
 
-    def kept_tokens(self, parts: Iterable[PromptPart]) -> int:
-        """Return how many tokens from the beginning of a prompt need no reading."""
+    def cached_tokens(self, parts: Iterable[PromptPart]) -> int:
+        """Return how many tokens at the start of a prompt need no reading."""
         tokens = 0
         for part in parts:
-            if part.part_id not in self._kept:
+            if part.part_id not in self._cached:
                 break
             tokens += part.tokens
         return tokens
 
-    def sent(self, prompt: Prompt, memory_tokens: int | None) -> None:
-        """Note a request that this router sends to the engine.
+    def record_sent(self, prompt: Prompt, memory_tokens: int | None) -> None:
+        """Record a request that this router sends to the engine.
 
         Args:
             prompt: Its prompt.
-            memory_tokens: What the engine can hold, None if it does not say.
+            memory_tokens: The engine's capacity in tokens, None if not declared.
         """
         limit = _usable_tokens(memory_tokens)
         for part in prompt.shared_parts:
             reported_at = self._reported_at_tokens.get(part.part_id)
             if reported_at is None or self._filled_tokens - reported_at > (
-                REPORTED_AGAIN_PART * limit
+                REPORT_INTERVAL_MEMORY_FRACTION * limit
             ):
-                self._news[part.part_id] = part.tokens
+                self._unreported_parts[part.part_id] = part.tokens
                 self._reported_at_tokens[part.part_id] = self._filled_tokens
             self._use(part.part_id, part.tokens)
-        others = prompt.own_tokens + prompt.output_tokens
-        self._other_news_tokens += others
-        self._fill(others)
-        self._forget(limit)
+        unshared_tokens = prompt.own_tokens + prompt.output_tokens
+        self._unreported_other_tokens += unshared_tokens
+        self._add_unshared(unshared_tokens)
+        self._evict(limit)
 
-    def take(self, used: UsedParts, memory_tokens: int | None) -> None:
-        """Note what another router has sent to the engine."""
+    def record_used_parts(self, used: UsedParts, memory_tokens: int | None) -> None:
+        """Record what another router has sent to the engine."""
         for part in used.parts:
             self._use(part.part_id, part.tokens)
-        self._fill(used.other_tokens)
-        self._forget(_usable_tokens(memory_tokens))
+        self._add_unshared(used.other_tokens)
+        self._evict(_usable_tokens(memory_tokens))
 
-    def news(self, name: int) -> UsedParts | None:
-        """Return what other routers are to know, once; None if it is nothing.
+    def flush_used_parts(self, name: int) -> UsedParts | None:
+        """Return what was not reported to other routers yet, None if there is nothing.
 
         Args:
             name: The engine's short name.
         """
-        if not self._news and not self._other_news_tokens:
+        if not self._unreported_parts and not self._unreported_other_tokens:
             return None
-        parts = tuple(UsedPart(*row) for row in self._news.items())
-        used = UsedParts(name, parts, self._other_news_tokens)
-        self._news = {}
-        self._other_news_tokens = 0
+        parts = tuple(UsedPart(*row) for row in self._unreported_parts.items())
+        used = UsedParts(name, parts, self._unreported_other_tokens)
+        self._unreported_parts = {}
+        self._unreported_other_tokens = 0
         return used
 
     def _use(self, part_id: int, tokens: int) -> None:
-        """Make a part the most recently used one."""
-        before = self._kept.pop(part_id, 0)
-        self._kept[part_id] = tokens
-        self._kept_tokens += tokens - before
+        """Make a part the most recently used one; add it if it is not cached."""
+        before = self._cached.pop(part_id, 0)
+        self._cached[part_id] = tokens
+        self._cached_tokens += tokens - before
         if not before:
             self._filled_tokens += tokens
 
-    def _fill(self, tokens: int) -> None:
-        """Let tokens through that no other request shares."""
+    def _add_unshared(self, tokens: int) -> None:
+        """Add tokens that no other request shares."""
         if tokens > 0:
-            self._unshared -= 1
-            self._use(self._unshared, tokens)
+            self._last_unshared_id -= 1
+            self._use(self._last_unshared_id, tokens)
 
-    def _forget(self, limit: float) -> None:
-        while self._kept_tokens > limit:
-            part_id, tokens = self._kept.popitem(last=False)
-            self._kept_tokens -= tokens
+    def _evict(self, limit: float) -> None:
+        while self._cached_tokens > limit:
+            part_id, tokens = self._cached.popitem(last=False)
+            self._cached_tokens -= tokens
             self._reported_at_tokens.pop(part_id, None)
 
 
 def _usable_tokens(memory_tokens: int | None) -> float:
-    return USABLE_PART * (memory_tokens or UNKNOWN_MEMORY_TOKENS)
+    return USABLE_MEMORY_FRACTION * (memory_tokens or DEFAULT_MEMORY_TOKENS)
 
 
 def make_engine_memory() -> EngineMemory:
-    """Return the memory of an engine that was sent nothing yet."""
+    """Return the empty memory of an engine that has received no request."""
     return EngineMemory()
--- a/sesameford/gateway/placement.py
+++ b/sesameford/gateway/placement.py
@@ -1,4 +1,4 @@
-"""Where a request goes: the target at which its answer begins soonest."""
+"""Chooses the target of each request: the one where its answer starts soonest."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
@@ -14,8 +14,8 @@
 from sesameford.gateway.calls import Prompt
 from sesameford.gateway.candidates import make_candidates
 from sesameford.gateway.engine_backlog import (
-    LOST_SECONDS,
-    TELLING_TOKENS,
+    LOST_ANSWER_SECONDS,
+    MIN_SAMPLE_TOKENS,
     ReadingRate,
     make_engine_backlog,
 )
@@ -33,43 +33,42 @@
     UsedParts,
 )
 
-# How long a request holds its place in a batch after its first event, until some have
-# ended; a request more than an engine has places waits until one of them ends.
-FIRST_HOLD_SECONDS = 1.0
-# The part of a new one in the average of those times.
-HOLD_GAIN = 0.05
-# The part of a new one in the average of how long a plain service works on a request.
-WORK_GAIN = 0.05
-# What a first event takes beside the reading of prompts: the ways there and back, and
-# the steps until an event is full. It is learnt from prompts so short that they say
-# little of the engine's rate, with this weight of each; what took longer had other
-# causes.
-FIRST_FIXED_SECONDS = 0.05
-FIXED_GAIN = 0.02
-MOST_FIXED_SECONDS = 0.3
-# A target at which a connection failed rests so long, doubled with each failure.
-REST_SECONDS = 0.5
-LONGEST_REST_SECONDS = 8.0
-# A target that no replica has heard for so many of its beats is taken last.
-MISSED_BEATS = 3.5
-# With more of its places taken than this part an engine has no room for those who ask
-# too much: its memory is then better left to the prompts of all others.
-ROOM_SLOTS_PART = 0.5
-# The mean wait at all engines is worked out once in so long. A router that one customer
-# floods needs it for each of its requests, hundreds a second, and would spend more on
-# it than on all else of a rejection.
-MEAN_WAIT_VALID_SECONDS = 0.02
-# A plain target that fails all it is sent counts as if so many times its places were
-# taken beside those that are, so that a sound one is taken until callers wait there.
-FAILED_FULLNESS = 1.0
-# What another data centre costs, in requests at a plain service: less than one, so
-# that it only decides between equals.
-FAR_REQUESTS = 0.4
+# How long a request occupies its batch slot after its first event, until finished
+# requests show it. A request at an engine without a free slot waits until one ends.
+INITIAL_BATCH_HOLD_SECONDS = 1.0
+# Weight of a new sample in the moving average of those times.
+BATCH_HOLD_GAIN = 0.05
+# Weight of a new sample in the moving average of a plain service's work time.
+WORK_TIME_GAIN = 0.05
+# The delay of a first event apart from reading prompts: the network round trip and the
+# steps until an event is complete. It is a moving average over prompts too short to
+# show the engine's rate; each sample is capped, as a longer delay has other causes.
+INITIAL_FIXED_DELAY_SECONDS = 0.05
+FIXED_DELAY_GAIN = 0.02
+MAX_FIXED_DELAY_SECONDS = 0.3
+# Backoff of a target after a failed connection, doubled with each further failure.
+INITIAL_BACKOFF_SECONDS = 0.5
+MAX_BACKOFF_SECONDS = 8.0
+# A target whose last heartbeat at any replica is older than this is used last.
+MAX_MISSED_HEARTBEATS = 3.5
+# Above this fraction of busy slots an engine has no spare capacity for customers over
+# their share: its memory then serves better for the prompts of the others.
+MAX_BUSY_SLOTS_FRACTION = 0.5
+# How long the mean wait over all engines is cached. A router that one customer
+# overloads needs it for hundreds of requests a second, and computing it each time
+# would cost more than the rest of a rejection.
+MEAN_WAIT_CACHE_SECONDS = 0.02
+# A plain target that fails all its requests counts as fuller by so many times its
+# slots, so that healthy ones are preferred until callers queue there.
+FAILURE_COST_FULLNESS = 1.0
+# The cost of another data centre, in requests at a plain service: less than one, so
+# that it only breaks ties.
+REMOTE_COST_REQUESTS = 0.4
 
 
 @dataclass(frozen=True, slots=True)
 class PlainQueue:
-    """How long a request of a plain service takes, and how long without any wait."""
+    """How long a request of a plain service takes in all, and without queueing."""
 
     takes_seconds: float
     work_seconds: float
@@ -77,44 +76,44 @@
 
 @dataclass(frozen=True, slots=True)
 class _MeanWait:
-    """How long prompts wait on average at the engines of a service."""
+    """The cached mean wait of prompts at the engines of a service."""
 
     seconds: float
     valid_until_seconds: float
 
 
 class Placement:
-    """The targets as one router sees them."""
+    """One router's records of all targets, and its choice among them."""
 
     def __init__(
         self,
         table: HeartbeatTable,
         data_centre: str,
-        beat_seconds: float,
+        heartbeat_seconds: float,
         random: Random,
         regions: Mapping[str, str],
     ) -> None:
-        self.candidates = make_candidates(table, regions, self._restarted)
+        self.candidates = make_candidates(table, regions, self._forget_restarted_target)
         self._table = table
         self._random = random
         self._data_centre = data_centre
-        self._beat_seconds = beat_seconds
+        self._heartbeat_seconds = heartbeat_seconds
         self._records: dict[str, TargetRecord] = {}
-        self._leases = 0
-        self._hold_seconds = FIRST_HOLD_SECONDS
-        self._began_at_seconds: dict[int, float] = {}
+        self._last_reservation_number = 0
+        self._hold_seconds = INITIAL_BATCH_HOLD_SECONDS
+        self._first_event_at_seconds: dict[int, float] = {}
         self._mean_waits: dict[str, _MeanWait] = {}
         self._kind_rate = ReadingRate()
-        self._fixed_seconds = FIRST_FIXED_SECONDS
+        self._fixed_delay_seconds = INITIAL_FIXED_DELAY_SECONDS
         self._work_seconds: dict[str, float] = {}
 
     def configure(self, tree: EffectiveTree, now_seconds: float) -> None:
-        """Take a tree that comes into force."""
+        """Apply a tree that comes into force."""
         if self.candidates.configure(tree, now_seconds):
             self._mean_waits.clear()
 
-    def _restarted(self, target_id: str) -> None:
-        """Forget what is known of a target that holds nothing of it any more."""
+    def _forget_restarted_target(self, target_id: str) -> None:
+        """Delete the record of a target that restarted with empty memory."""
         self._records.pop(target_id, None)
 
     def choose(
@@ -127,21 +126,24 @@
         now_seconds: float,
         homes: frozenset[str] | None = None,
     ) -> Reservation | None:
-        """Return where to send a request, counted there at once, or None.
+        """Choose a target for a request and reserve a slot there.
 
         Args:
-            service: The service it is for.
-            prompt: What is known of its prompt, None if nothing is.
-            engine: The service's settings, where it is of model engines.
-            objective_seconds: When its answer should begin.
-            tried: Targets that had it already.
+            service: The service that it is for.
+            prompt: Its prompt, None if it has none.
+            engine: The service's settings if it consists of model engines.
+            objective_seconds: The time within which its answer should start.
+            tried: Targets that it was already sent to.
             now_seconds: The present time.
             homes: The regions in which it may run, None for all.
+
+        Returns:
+            The reservation, None if there is no usable target.
         """
         found = [
-            known
-            for known in self.candidates.of_service(service, homes)
-            if known.row.target_id not in tried
+            entry
+            for entry in self.candidates.of_service(service, homes)
+            if entry.row.target_id not in tried
         ]
         permitted = self.candidates.permitted(found, now_seconds)
         usable = self._usable(permitted, now_seconds)
@@ -150,13 +152,13 @@
         if prompt is None or engine is None or not engine.batch_slots:
             best = min(usable, key=partial(self._plain_cost, now_seconds))
             self.candidates.use_permit(best, now_seconds)
-            return self._plain_lease(best, now_seconds)
+            return self._reserve_plain_target(best, now_seconds)
         option = self._best_option(
             prompt, usable, engine, objective_seconds, now_seconds
         )
-        is_cold = self.candidates.use_permit(option.known, now_seconds)
-        lease = self._engine_lease(option, prompt, engine, now_seconds)
-        return replace(lease, is_cold=True) if is_cold else lease
+        is_cold = self.candidates.use_permit(option.entry, now_seconds)
+        reservation = self._reserve_engine(option, prompt, engine, now_seconds)
+        return replace(reservation, is_cold=True) if is_cold else reservation
 
     def has_spare_capacity(
         self,
@@ -164,30 +166,31 @@
         prompt: Prompt,
         engine: ServiceSettings,
         objective_seconds: float,
-        room_seconds: float,
-        mean_wait_seconds: float,
+        max_wait_seconds: float,
+        max_mean_wait_seconds: float,
         now_seconds: float,
         homes: frozenset[str] | None = None,
     ) -> bool:
-        """Return whether a request could begin at once and would delay nobody.
+        """Return whether a request could start at once without delaying others.
 
-        Engines must stand idle for the most part. Room at the one engine alone brings
-        more answers, most of them to those who flood, and makes others late.
+        Engines in general must be mostly idle. Spare capacity at the chosen engine
+        alone would allow more answers, most of them for customers who overload the
+        service, and would make those of others late.
 
         Args:
-            service: The service it is for.
-            prompt: What is known of its prompt.
+            service: The service that it is for.
+            prompt: Its prompt.
             engine: The service's settings.
-            objective_seconds: When its answer should begin.
-            room_seconds: Prompts may wait so long where there is room.
-            mean_wait_seconds: And so long on average over all engines.
+            objective_seconds: The time within which its answer should start.
+            max_wait_seconds: The longest wait that counts as spare capacity.
+            max_mean_wait_seconds: The longest mean wait over all engines that does.
             now_seconds: The present time.
             homes: The regions in which it may run, None for all.
         """
         slots = engine.batch_slots
         if not slots:
             return False
-        if self.mean_wait_seconds(service, slots, now_seconds) > mean_wait_seconds:
+        if self.mean_wait_seconds(service, slots, now_seconds) > max_mean_wait_seconds:
             return False
         found = self.candidates.of_service(service, homes)
         usable = self._usable(self.candidates.warm(found, now_seconds), now_seconds)
@@ -196,14 +199,14 @@
         option = self._best_option(
             prompt, usable, engine, objective_seconds, now_seconds
         )
-        if option.again_tokens or option.copied_tokens:
+        if option.reread_tokens or option.copied_tokens:
             return False
-        if option.place.all_requests(now_seconds) >= ROOM_SLOTS_PART * slots:
+        if option.record.all_requests(now_seconds) >= MAX_BUSY_SLOTS_FRACTION * slots:
             return False
         wait_seconds = queue_seconds(
-            option.place, slots, self._hold_seconds, now_seconds
+            option.record, slots, self._hold_seconds, now_seconds
         )
-        return wait_seconds <= room_seconds
+        return wait_seconds <= max_wait_seconds
 
     def _best_option(
         self,
@@ -213,7 +216,7 @@
         objective_seconds: float,
         now_seconds: float,
     ) -> EngineOption:
-        """Return the engine at which a prompt costs least."""
+        """Return the engine with the lowest cost for a prompt."""
 
         def cost(option: EngineOption) -> float:
             return option_cost(
@@ -225,83 +228,92 @@
                 now_seconds,
             )
 
-        places = [(known, self._record(known.row.target_id)) for known in usable]
+        records = [(entry, self._record(entry.row.target_id)) for entry in usable]
         permitted = self.candidates.cold_ids(usable, now_seconds)
-        options = options_for(prompt, places, engine, self._random, permitted)
+        options = options_for(prompt, records, engine, self._random, permitted)
         return min(options, key=cost)
 
-    def record_answer_data(self, lease: Reservation, now_seconds: float) -> None:
-        """Note that something of an answer came from a target."""
-        place = self._record(lease.target_id)
-        place.last_seen_at_seconds = now_seconds
-        place.unanswered.pop(lease.number, None)
-
-    def record_first_event(self, lease: Reservation, now_seconds: float) -> None:
-        """Note that a request's prompt has been read."""
-        backlog = self._record(lease.target_id).backlog
-        backlog.read(lease.number)
-        self._began_at_seconds[lease.number] = now_seconds
-        # A cold engine says little of its kind, nor of itself when it is warm.
-        if not lease.waits_for_place and not lease.is_cold:
-            took_seconds = now_seconds - lease.sent_at_seconds
-            tokens = lease.ahead_tokens + lease.tokens
-            self._learn_fixed(took_seconds - backlog.read_seconds(tokens), tokens)
-            read_seconds = took_seconds - self._fixed_seconds
-            self._kind_rate.observed(tokens, read_seconds, now_seconds)
-            backlog.rate.observed(tokens, read_seconds, now_seconds)
-
-    def _learn_fixed(self, took_seconds: float, tokens: int) -> None:
-        """Learn what a first event takes beside reading, from short prompts."""
-        if tokens < TELLING_TOKENS:
-            took_seconds = min(max(took_seconds, 0.0), MOST_FIXED_SECONDS)
-            self._fixed_seconds += FIXED_GAIN * (took_seconds - self._fixed_seconds)
-
-    def is_lost(self, lease: Reservation, now_seconds: float) -> bool:
-        """Return whether a request's answer was due long ago and nothing came."""
-        waiting = self._record(lease.target_id).unanswered.get(lease.number)
-        return waiting is not None and now_seconds > waiting[1] + LOST_SECONDS
-
-    def release(self, lease: Reservation, now_seconds: float) -> None:
-        """Give back a request's share of its target.
-
-        One that ends while its target is silent leaves the target to rest; forgotten,
-        the next requests would have to find out again.
+    def record_answer_data(self, reservation: Reservation, now_seconds: float) -> None:
+        """Record that a part of an answer arrived from a target."""
+        record = self._record(reservation.target_id)
+        record.last_seen_at_seconds = now_seconds
+        record.unanswered.pop(reservation.number, None)
+
+    def record_first_event(self, reservation: Reservation, now_seconds: float) -> None:
+        """Record that a request's prompt has been read."""
+        backlog = self._record(reservation.target_id).backlog
+        backlog.remove(reservation.number)
+        self._first_event_at_seconds[reservation.number] = now_seconds
+        # A cold engine shows neither its own rate when warm nor that of its kind.
+        if not reservation.waits_for_slot and not reservation.is_cold:
+            took_seconds = now_seconds - reservation.sent_at_seconds
+            tokens = reservation.ahead_tokens + reservation.tokens
+            self._learn_fixed_delay(took_seconds - backlog.read_seconds(tokens), tokens)
+            read_seconds = took_seconds - self._fixed_delay_seconds
+            self._kind_rate.record_reading(tokens, read_seconds, now_seconds)
+            backlog.rate.record_reading(tokens, read_seconds, now_seconds)
+
+    def _learn_fixed_delay(self, took_seconds: float, tokens: int) -> None:
+        """Update the delay of first events apart from reading, by a short prompt."""
+        if tokens < MIN_SAMPLE_TOKENS:
+            took_seconds = min(max(took_seconds, 0.0), MAX_FIXED_DELAY_SECONDS)
+            self._fixed_delay_seconds += FIXED_DELAY_GAIN * (
+                took_seconds - self._fixed_delay_seconds
+            )
+
+    def is_lost(self, reservation: Reservation, now_seconds: float) -> bool:
+        """Return whether a request's answer is so overdue that it counts as lost."""
+        waiting = self._record(reservation.target_id).unanswered.get(reservation.number)
+        return waiting is not None and now_seconds > waiting[1] + LOST_ANSWER_SECONDS
+
+    def release(self, reservation: Reservation, now_seconds: float) -> None:
+        """Release a reservation at the end of its request.
+
+        If the target is silent at that time it is put into backoff. Otherwise the
+        silence would be forgotten, and the next requests would have to detect it again.
         """
-        place = self._record(lease.target_id)
-        if lease.number in place.unanswered and place.is_silent(now_seconds):
-            self.record_connection_failure(lease.target_id, now_seconds)
-        place.requests = max(place.requests - 1, 0)
-        place.unanswered.pop(lease.number, None)
-        place.backlog.read(lease.number)
-        began_at_seconds = self._began_at_seconds.pop(lease.number, None)
-        if began_at_seconds is not None:
-            held_seconds = now_seconds - began_at_seconds
-            self._hold_seconds += HOLD_GAIN * (held_seconds - self._hold_seconds)
+        record = self._record(reservation.target_id)
+        if reservation.number in record.unanswered and record.is_silent(now_seconds):
+            self.record_connection_failure(reservation.target_id, now_seconds)
+        record.requests = max(record.requests - 1, 0)
+        record.unanswered.pop(reservation.number, None)
+        record.backlog.remove(reservation.number)
+        first_event_at_seconds = self._first_event_at_seconds.pop(
+            reservation.number, None
+        )
+        if first_event_at_seconds is not None:
+            held_seconds = now_seconds - first_event_at_seconds
+            self._hold_seconds += BATCH_HOLD_GAIN * (held_seconds - self._hold_seconds)
 
     def record_connection_failure(self, target_id: str, now_seconds: float) -> None:
-        """Let a target rest at which a connection failed or broke."""
-        place = self._record(target_id)
-        rest_seconds = min(REST_SECONDS * 2**place.failures, LONGEST_REST_SECONDS)
-        place.failures += 1
-        place.rests_until_seconds = now_seconds + rest_seconds
+        """Put a target into backoff after a connection to it failed or broke."""
+        record = self._record(target_id)
+        backoff_seconds = min(
+            INITIAL_BACKOFF_SECONDS * 2**record.consecutive_failures,
+            MAX_BACKOFF_SECONDS,
+        )
+        record.consecutive_failures += 1
+        record.backoff_until_seconds = now_seconds + backoff_seconds
 
     def record_success(self, target_id: str) -> None:
-        """Note that a target gave a whole answer."""
-        place = self._record(target_id)
-        place.failures = 0
-        place.answered += 1
+        """Record a complete answer of a target."""
+        record = self._record(target_id)
+        record.consecutive_failures = 0
+        record.answered_requests += 1
 
     def record_work_time(
-        self, service: str, lease: Reservation, now_seconds: float
+        self, service: str, reservation: Reservation, now_seconds: float
     ) -> None:
-        """Learn how long a plain service works on a request."""
-        took_seconds = (now_seconds - lease.sent_at_seconds) / max(lease.fullness, 1.0)
+        """Update how long a plain service works on a request."""
+        took_seconds = (now_seconds - reservation.sent_at_seconds) / max(
+            reservation.fullness, 1.0
+        )
         before_seconds = self._work_seconds.get(service, took_seconds)
         change_seconds = took_seconds - before_seconds
-        self._work_seconds[service] = before_seconds + WORK_GAIN * change_seconds
+        self._work_seconds[service] = before_seconds + WORK_TIME_GAIN * change_seconds
 
     def plain_queue(self, service: str, now_seconds: float) -> PlainQueue:
-        """Return the queue of a plain service where a request is soonest done.
+        """Return the shortest queue among the targets of a plain service.
 
         Args:
             service: The service.
@@ -312,24 +324,24 @@
         if not work_seconds or not found:
             return PlainQueue(0.0, 0.0)
         fullness = min(
-            self._record(known.row.target_id).all_requests(now_seconds)
-            / max(known.row.slots, 1)
-            for known in self._usable(found, now_seconds)
+            self._record(entry.row.target_id).all_requests(now_seconds)
+            / max(entry.row.slots, 1)
+            for entry in self._usable(found, now_seconds)
         )
         return PlainQueue(work_seconds * max(fullness, 1.0), work_seconds)
 
     def record_bad_answer(self, target_id: str) -> None:
-        """Note that a target failed a request that it took."""
-        self._record(target_id).failed += 1
+        """Record that a target failed a request that it accepted."""
+        self._record(target_id).failed_requests += 1
 
     def queue_waits_seconds(
         self, service: str, slots: int, now_seconds: float
     ) -> list[float]:
-        """Return how long a prompt waits at each engine of a service.
+        """Return how many seconds a prompt waits at each engine of a service.
 
         Args:
             service: The service.
-            slots: Requests that one engine works on at once.
+            slots: The number of requests that one engine processes at once.
             now_seconds: The present time.
         """
         found = self.candidates.of_service(service)
@@ -337,145 +349,153 @@
         usable = self._usable(warm or found, now_seconds)
         return [
             queue_seconds(
-                self._record(known.row.target_id),
+                self._record(entry.row.target_id),
                 slots,
                 self._hold_seconds,
                 now_seconds,
             )
-            for known in usable
+            for entry in usable
         ]
 
     def mean_wait_seconds(self, service: str, slots: int, now_seconds: float) -> float:
-        """Return how long a prompt waits on average at the engines of a service.
+        """Return the mean wait of a prompt in seconds at the engines of a service.
 
         Args:
             service: The service.
-            slots: Requests that one engine works on at once.
+            slots: The number of requests that one engine processes at once.
             now_seconds: The present time.
         """
-        known = self._mean_waits.get(service)
-        if known is not None and now_seconds < known.valid_until_seconds:
-            return known.seconds
+        cached = self._mean_waits.get(service)
+        if cached is not None and now_seconds < cached.valid_until_seconds:
+            return cached.seconds
         waits = self.queue_waits_seconds(service, slots, now_seconds)
         seconds = sum(waits) / len(waits) if waits else 0.0
-        valid_until_seconds = now_seconds + MEAN_WAIT_VALID_SECONDS
+        valid_until_seconds = now_seconds + MEAN_WAIT_CACHE_SECONDS
         self._mean_waits[service] = _MeanWait(seconds, valid_until_seconds)
         return seconds
 
     def loads(self, now_seconds: float) -> tuple[TargetLoad, ...]:
-        """Return what this router has under way."""
+        """Return this router's running requests and unread tokens by target."""
         return tuple(
             TargetLoad(
                 short_name(target_id),
-                place.running_requests(now_seconds),
-                place.backlog.unread_tokens(now_seconds),
+                record.running_requests(now_seconds),
+                record.backlog.unread_tokens(now_seconds),
             )
-            for target_id, place in self._records.items()
-            if place.requests
+            for target_id, record in self._records.items()
+            if record.requests
         )
 
     def flush_used_parts(self) -> tuple[UsedParts, ...]:
-        """Return what this router has sent to engines since it was asked last."""
+        """Return what this router sent to engines since the last call."""
         rows = [
-            place.memory.news(short_name(target_id))
-            for target_id, place in self._records.items()
+            record.memory.flush_used_parts(short_name(target_id))
+            for target_id, record in self._records.items()
         ]
         return tuple(row for row in rows if row is not None)
 
     def flush_outcomes(self) -> tuple[TargetOutcomes, ...]:
-        """Return how targets have answered since this was asked last."""
+        """Return how many requests targets answered and failed since the last call."""
         rows = []
-        for target_id, place in self._records.items():
-            if place.answered or place.failed:
+        for target_id, record in self._records.items():
+            if record.answered_requests or record.failed_requests:
                 name = short_name(target_id)
-                rows.append(TargetOutcomes(name, place.answered, place.failed))
-                place.answered = place.failed = 0
+                rows.append(
+                    TargetOutcomes(
+                        name, record.answered_requests, record.failed_requests
+                    )
+                )
+                record.answered_requests = record.failed_requests = 0
         return tuple(rows)
 
     def set_failing_targets(self, rows: Iterable[FailingTarget]) -> None:
-        """Take which targets fail part of what the fleet sends them."""
+        """Set the part of requests that targets fail, as the whole fleet sees it."""
         parts = {row.name: row.failed_part for row in rows}
-        for target_id, place in self._records.items():
-            place.failed_part = parts.get(short_name(target_id), 0.0)
+        for target_id, record in self._records.items():
+            record.failed_part = parts.get(short_name(target_id), 0.0)
 
     def failed_parts_by_id(self, rows: Iterable[FailingTarget]) -> dict[str, float]:
-        """Return which part the known ones of failing targets fail, by their ids."""
-        known = ((self._table.by_name(row.name), row.failed_part) for row in rows)
-        return {one.row.target_id: part for one, part in known if one is not None}
+        """Return the failed part by target id, of targets in this router's table."""
+        found = ((self._table.by_name(row.name), row.failed_part) for row in rows)
+        return {entry.row.target_id: part for entry, part in found if entry is not None}
 
     def record_used_parts(
         self, rows: Iterable[UsedParts], engines: Mapping[str, ServiceSettings]
     ) -> None:
-        """Take what other routers have sent to engines.
+        """Record what other routers have sent to engines.
 
         Args:
-            rows: By engine.
-            engines: The settings of services.
+            rows: The parts and tokens, one row for each engine.
+            engines: The settings by service.
         """
         for row in rows:
-            known = self._table.by_name(row.name)
-            if known is None:
-                # A target that this instance does not know yet, or has forgotten.
+            entry = self._table.by_name(row.name)
+            if entry is None:
+                # This instance's table has no such target yet, or no longer.
                 continue
-            engine = engines.get(known.row.service)
+            engine = engines.get(entry.row.service)
             memory_tokens = engine.cache_tokens if engine else None
-            self._record(known.row.target_id).memory.take(row, memory_tokens)
+            self._record(entry.row.target_id).memory.record_used_parts(
+                row, memory_tokens
+            )
 
     def set_other_routers_load(self, loads: Iterable[TargetLoad]) -> None:
-        """Take what all other routers have under way, by target."""
+        """Set the load that all other routers have at each target."""
         self._mean_waits.clear()
         by_name = {load.name: load for load in loads}
         for target_id in self._table.known:
             load = by_name.get(short_name(target_id))
-            place = self._record(target_id)
-            place.others_requests = load.requests if load else 0
-            place.backlog.others_unread_tokens = load.unread_tokens if load else 0
+            record = self._record(target_id)
+            record.others_requests = load.requests if load else 0
+            record.backlog.others_unread_tokens = load.unread_tokens if load else 0
 
     def forget(self) -> None:
-        """Drop what is known of targets that the table has forgotten."""
+        """Delete the records of targets that the table no longer contains."""
         for target_id in [one for one in self._records if one not in self._table.known]:
             del self._records[target_id]
 
     def _usable(
         self, found: list[HeartbeatEntry], now_seconds: float
     ) -> list[HeartbeatEntry]:
-        """Return those that beat and don't rest, or the best of what there is.
+        """Return the targets that send heartbeats, are not in backoff and answer.
 
-        A router that hears no replica hears of no beats either. Its targets may all
-        be well, so silence only decides while some of them are heard.
+        If a condition excludes all of them it is dropped: a router without a
+        connection to any replica receives no heartbeats, but its targets may be well.
         """
-        silent_seconds = MISSED_BEATS * self._beat_seconds
-        heard = [
-            known
-            for known in found
-            if now_seconds - known.last_seen_at_seconds < silent_seconds
+        silent_seconds = MAX_MISSED_HEARTBEATS * self._heartbeat_seconds
+        live = [
+            entry
+            for entry in found
+            if now_seconds - entry.last_seen_at_seconds < silent_seconds
         ] or found
-        rested = [
-            known
-            for known in heard
-            if self._record(known.row.target_id).rests_until_seconds <= now_seconds
+        available = [
+            entry
+            for entry in live
+            if self._record(entry.row.target_id).backoff_until_seconds <= now_seconds
         ]
         answering = [
-            known
-            for known in rested
-            if not self._record(known.row.target_id).is_silent(now_seconds)
+            entry
+            for entry in available
+            if not self._record(entry.row.target_id).is_silent(now_seconds)
         ]
-        return answering or rested or heard
+        return answering or available or live
 
     def _record(self, target_id: str) -> TargetRecord:
-        place = self._records.get(target_id)
-        if place is None:
+        record = self._records.get(target_id)
+        if record is None:
             backlog = make_engine_backlog(self._kind_rate)
-            place = self._records[target_id] = TargetRecord(backlog=backlog)
-        return place
-
-    def _plain_lease(self, known: HeartbeatEntry, now_seconds: float) -> Reservation:
-        """Count a request at a plain service."""
-        row = known.row
-        place = self._record(row.target_id)
-        place.requests += 1
-        fullness = place.all_requests(now_seconds) / max(row.slots, 1)
-        number = self._open(place, now_seconds, now_seconds)
+            record = self._records[target_id] = TargetRecord(backlog=backlog)
+        return record
+
+    def _reserve_plain_target(
+        self, entry: HeartbeatEntry, now_seconds: float
+    ) -> Reservation:
+        """Reserve a slot for a request at a target of a plain service."""
+        row = entry.row
+        record = self._record(row.target_id)
+        record.requests += 1
+        fullness = record.all_requests(now_seconds) / max(row.slots, 1)
+        number = self._add_unanswered(record, now_seconds, now_seconds)
         return Reservation(
             row.target_id,
             row.address,
@@ -484,31 +504,36 @@
             fullness=fullness,
         )
 
-    def _open(
-        self, place: TargetRecord, now_seconds: float, expected_at_seconds: float
+    def _add_unanswered(
+        self, record: TargetRecord, now_seconds: float, expected_at_seconds: float
     ) -> int:
-        """Remember a request until something of its answer comes."""
-        self._leases += 1
-        place.unanswered[self._leases] = (now_seconds, expected_at_seconds)
-        return self._leases
+        """Track a request until a part of its answer arrives; return its number."""
+        self._last_reservation_number += 1
+        record.unanswered[self._last_reservation_number] = (
+            now_seconds,
+            expected_at_seconds,
+        )
+        return self._last_reservation_number
 
-    def _engine_lease(
+    def _reserve_engine(
         self,
         option: EngineOption,
         prompt: Prompt,
         engine: ServiceSettings,
         now_seconds: float,
     ) -> Reservation:
-        """Count a request at an engine."""
+        """Reserve a slot for a request at an engine."""
         slots = engine.batch_slots or 1
-        row = option.known.row
-        place = option.place
-        backlog = place.backlog
-        expected_seconds = queue_seconds(place, slots, self._hold_seconds, now_seconds)
+        row = option.entry.row
+        record = option.record
+        backlog = record.backlog
+        expected_seconds = queue_seconds(record, slots, self._hold_seconds, now_seconds)
         expected_seconds += backlog.read_seconds(option.unread_tokens)
-        expected_seconds += self._fixed_seconds
-        number = self._open(place, now_seconds, now_seconds + expected_seconds)
-        lease = Reservation(
+        expected_seconds += self._fixed_delay_seconds
+        number = self._add_unanswered(
+            record, now_seconds, now_seconds + expected_seconds
+        )
+        reservation = Reservation(
             row.target_id,
             row.address,
             number,
@@ -517,40 +542,42 @@
             now_seconds,
             expected_seconds,
             backlog.rate_tokens,
-            place.all_requests(now_seconds) >= slots,
+            record.all_requests(now_seconds) >= slots,
             option.copy_from,
         )
-        place.requests += 1
-        backlog.sent(
+        record.requests += 1
+        backlog.add(
             number, option.unread_tokens, now_seconds + expected_seconds, now_seconds
         )
-        place.memory.sent(prompt, engine.cache_tokens)
-        return lease
+        record.memory.record_sent(prompt, engine.cache_tokens)
+        return reservation
 
     def _plain_cost(
-        self, now_seconds: float, known: HeartbeatEntry
+        self, now_seconds: float, entry: HeartbeatEntry
     ) -> tuple[float, int]:
-        place = self._record(known.row.target_id)
-        requests = place.all_requests(now_seconds)
-        far = 0.0 if known.row.data_centre == self._data_centre else FAR_REQUESTS
-        fullness = (requests + far) / max(known.row.slots, 1)
-        return fullness + FAILED_FULLNESS * place.failed_part, place.requests
+        record = self._record(entry.row.target_id)
+        requests = record.all_requests(now_seconds)
+        remote_requests = (
+            0.0 if entry.row.data_centre == self._data_centre else REMOTE_COST_REQUESTS
+        )
+        fullness = (requests + remote_requests) / max(entry.row.slots, 1)
+        return fullness + FAILURE_COST_FULLNESS * record.failed_part, record.requests
 
 
 def make_placement(
     table: HeartbeatTable,
     data_centre: str,
-    beat_seconds: float,
+    heartbeat_seconds: float,
     random: Random,
     regions: Mapping[str, str] | None = None,
 ) -> Placement:
     """Return the placement of one router.
 
     Args:
-        table: The targets.
-        data_centre: Where the router stands.
-        beat_seconds: How often targets beat.
-        random: Draws the engines that are looked at.
+        table: The targets and their heartbeats.
+        data_centre: The router's data centre.
+        heartbeat_seconds: The interval of targets' heartbeats.
+        random: Selects the engines that are considered.
         regions: The region of each data centre.
     """
-    return Placement(table, data_centre, beat_seconds, random, regions or {})
+    return Placement(table, data_centre, heartbeat_seconds, random, regions or {})
--- a/sesameford/gateway/serve.py
+++ b/sesameford/gateway/serve.py
@@ -90,12 +90,12 @@
     """
     deps.second_sends.record_request(context.service, deps.now())
     while True:
-        lease = _choose_target(deps, context)
+        reservation = _choose_target(deps, context)
         try:
-            return await _send_once(deps, request, context, lease)
+            return await _send_once(deps, request, context, reservation)
         except SendAttemptError as error:
-            log_failure(deps, context, lease, error)
-            _record_failure(deps, context, lease, error)
+            log_failure(deps, context, reservation, error)
+            _record_failure(deps, context, reservation, error)
             if not _may_send_again(deps, context, error):
                 raise _final_error(context, error) from error
 
@@ -108,7 +108,7 @@
     """
     state = deps.state()
     engine = state.tree.services.get(context.service) if state is not None else None
-    lease = deps.placement.choose(
+    reservation = deps.placement.choose(
         context.service,
         context.call.prompt,
         engine,
@@ -117,21 +117,21 @@
         deps.now(),
         context.homes,
     )
-    if lease is None:
+    if reservation is None:
         if context.may_have_run:
             raise Refusal(502, "no-target-left")
         reason = deps.placement.candidates.no_target_reason(
             context.service, context.tried, deps.now(), context.homes
         )
         raise Refusal(503, reason.value, NO_TARGET_RETRY_SECONDS[reason])
-    return lease
+    return reservation
 
 
 async def _send_once(
     deps: GatewayDeps,
     request: web.BaseRequest,
     context: CallContext,
-    lease: Reservation,
+    reservation: Reservation,
 ) -> web.StreamResponse:
     """Send a call to one target and forward its answer to the caller.
 
@@ -140,39 +140,47 @@
     """
     left_seconds = context.until_seconds - deps.loop_time()
     if left_seconds < MIN_TIME_LEFT_SECONDS:
-        deps.placement.release(lease, deps.now())
+        deps.placement.release(reservation, deps.now())
         raise SendAttemptError(SendOutcome.TIMEOUT, "no time is left")
     context.send_attempts += 1
-    context.reservation = lease
-    context.tried |= {lease.target_id}
+    context.reservation = reservation
+    context.tried |= {reservation.target_id}
     resume_after = context.call.resume_after
     if context.passed_events is not None and context.passed_events.last_event_id >= 0:
         resume_after = str(context.passed_events.last_event_id)
     attempt = SendAttempt(
-        lease.target_id, context.customer, left_seconds, resume_after, lease.copy_from
+        reservation.target_id,
+        context.customer,
+        left_seconds,
+        resume_after,
+        reservation.copy_from,
     )
 
     is_failed = False
     try:
         async with deps.sender.exchange(
-            context.call, context.body, lease.address, attempt, context.until_seconds
+            context.call,
+            context.body,
+            reservation.address,
+            attempt,
+            context.until_seconds,
         ) as exchange:
-            deps.placement.record_answer_data(lease, deps.now())
+            deps.placement.record_answer_data(reservation, deps.now())
             async with body_until(context.until_seconds):
-                answer = await _pass_on(deps, request, context, lease, exchange)
+                answer = await _pass_on(deps, request, context, reservation, exchange)
         is_failed = context.status >= 500
     except SendAttemptError as error:
         is_failed = error.outcome in (SendOutcome.LOST, SendOutcome.BROKEN)
         raise
     finally:
         # A caller may leave because the answer was lost, which counts as a failure.
-        if is_failed or deps.placement.is_lost(lease, deps.now()):
-            _record_failed_request(deps, context, lease)
-        deps.placement.release(lease, deps.now())
+        if is_failed or deps.placement.is_lost(reservation, deps.now()):
+            _record_failed_request(deps, context, reservation)
+        deps.placement.release(reservation, deps.now())
     if not is_failed:
-        deps.placement.record_success(lease.target_id)
+        deps.placement.record_success(reservation.target_id)
         if not context.route.is_stream:
-            deps.placement.record_work_time(context.service, lease, deps.now())
+            deps.placement.record_work_time(context.service, reservation, deps.now())
     return answer
 
 
@@ -180,13 +188,13 @@
     deps: GatewayDeps,
     request: web.BaseRequest,
     context: CallContext,
-    lease: Reservation,
+    reservation: Reservation,
     exchange: Exchange,
 ) -> web.StreamResponse:
     head = exchange.head
     context.status = context.status or head.status
     if context.route.is_stream and 200 <= head.status < 300:
-        return await _pass_stream(deps, request, context, lease, exchange)
+        return await _pass_stream(deps, request, context, reservation, exchange)
     if context.response is not None:
         raise SendAttemptError(
             SendOutcome.BROKEN, f"status {head.status} in place of the rest"
@@ -212,7 +220,7 @@
     deps: GatewayDeps,
     request: web.BaseRequest,
     context: CallContext,
-    lease: Reservation,
+    reservation: Reservation,
     exchange: Exchange,
 ) -> web.StreamResponse:
     """Forward a stream as it arrives; only complete events if it is resumable."""
@@ -227,8 +235,8 @@
             if context.call.prompt is not None:
                 deps.gate.began(context.customer or "", context.call.prompt.cost_tokens)
                 _record_first_event_time(deps, context)
-            deps.placement.record_first_event(lease, deps.now())
-        deps.placement.record_answer_data(lease, deps.now())
+            deps.placement.record_first_event(reservation, deps.now())
+        deps.placement.record_answer_data(reservation, deps.now())
         ready = (
             context.passed_events.feed(chunk)
             if context.passed_events is not None
@@ -269,7 +277,10 @@
 
 
 def _record_failure(
-    deps: GatewayDeps, context: CallContext, lease: Reservation, error: SendAttemptError
+    deps: GatewayDeps,
+    context: CallContext,
+    reservation: Reservation,
+    error: SendAttemptError,
 ) -> None:
     """Record what a failed send attempt shows about its target and the call."""
     if error.outcome in (
@@ -277,7 +288,7 @@
         SendOutcome.LOST,
         SendOutcome.WRONG_TARGET,
     ):
-        deps.placement.record_connection_failure(lease.target_id, deps.now())
+        deps.placement.record_connection_failure(reservation.target_id, deps.now())
     if error.outcome not in NOT_RUN_OUTCOMES:
         context.may_have_run = True
     if error.outcome is SendOutcome.NEVER_SENT:
@@ -301,10 +312,10 @@
 
 
 def _record_failed_request(
-    deps: GatewayDeps, context: CallContext, lease: Reservation
+    deps: GatewayDeps, context: CallContext, reservation: Reservation
 ) -> None:
     """Record a request that its target accepted and failed."""
-    deps.placement.record_bad_answer(lease.target_id)
+    deps.placement.record_bad_answer(reservation.target_id)
     if context.call.prompt is not None and context.first_event_seconds is None:
         deps.gate.failed(context.call.prompt.cost_tokens)
 
--- a/sesameford/gateway/target_record.py
+++ b/sesameford/gateway/target_record.py
@@ -1,74 +1,75 @@
-"""What one router knows of one target beside its heartbeats."""
+"""One router's record of one target, apart from its heartbeats, and reservations."""
 
 from dataclasses import dataclass, field
 
 from sesameford.gateway.engine_backlog import (
-    LOST_SECONDS,
+    LOST_ANSWER_SECONDS,
     EngineBacklog,
     make_engine_backlog,
 )
 from sesameford.gateway.engine_memory import EngineMemory, make_engine_memory
 
-# A request without an answer so long after it was expected shows a silent target, if
-# nothing else has come from there meanwhile either.
-OVERDUE_SECONDS = 0.5
+# A request whose answer is this late shows that the target is silent, if nothing else
+# has arrived from it since the request was sent.
+OVERDUE_ANSWER_SECONDS = 0.5
 
 
 @dataclass(slots=True)
 class TargetRecord:
-    """A target's work, answers and failures.
+    """A target's load, answers and failures.
 
-    ``requests`` are this router's under way, ``others_requests`` those of all others.
-    ``unanswered`` holds when each request was sent and when its answer was due;
-    ``answered`` and ``failed`` count outcomes that are not reported yet. The target
-    fails ``failed_part`` of all requests, as the whole fleet sees it.
+    ``requests`` are this router's running ones, ``others_requests`` those of all other
+    routers. ``unanswered`` holds by reservation number when a request was sent and
+    when its answer is due. ``answered_requests`` and ``failed_requests`` count
+    outcomes that are not reported yet. The target fails ``failed_part`` of all
+    requests, as the whole fleet sees it.
     """
 
     requests: int = 0
     others_requests: int = 0
     backlog: EngineBacklog = field(default_factory=make_engine_backlog)
     memory: EngineMemory = field(default_factory=make_engine_memory)
-    failures: int = 0
-    rests_until_seconds: float = 0.0
+    consecutive_failures: int = 0
+    backoff_until_seconds: float = 0.0
     last_seen_at_seconds: float = float("-inf")
     unanswered: dict[int, tuple[float, float]] = field(default_factory=dict)
-    answered: int = 0
-    failed: int = 0
+    answered_requests: int = 0
+    failed_requests: int = 0
     failed_part: float = 0.0
 
     def running_requests(self, now_seconds: float) -> int:
-        """Return this router's requests without those whose answers are lost."""
-        lost = sum(
-            now_seconds > due_at_seconds + LOST_SECONDS
+        """Return this router's running requests, except those with lost answers."""
+        lost_requests = sum(
+            now_seconds > due_at_seconds + LOST_ANSWER_SECONDS
             for _, due_at_seconds in self.unanswered.values()
         )
-        return max(self.requests - lost, 0)
+        return max(self.requests - lost_requests, 0)
 
     def all_requests(self, now_seconds: float) -> int:
-        """Return the requests of all routers that are under way there."""
+        """Return the running requests of all routers."""
         return self.running_requests(now_seconds) + self.others_requests
 
     def is_silent(self, now_seconds: float) -> bool:
-        """Return whether the oldest request without an answer is overdue.
+        """Return whether the oldest unanswered request is overdue.
 
-        A server that is cut off or hangs closes no connection. What is sent there
-        meanwhile is lost until its heartbeats are missed, which takes seconds.
+        A server that hangs or is partitioned closes no connection. Requests sent there
+        would be lost until its heartbeats are missed, which takes seconds.
         """
         for sent_at_seconds, due_at_seconds in self.unanswered.values():
-            is_overdue = now_seconds > due_at_seconds + OVERDUE_SECONDS
+            is_overdue = now_seconds > due_at_seconds + OVERDUE_ANSWER_SECONDS
             return is_overdue and self.last_seen_at_seconds < sent_at_seconds
         return False
 
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """One request's share of a target's work, to be given back by ``release``.
+    """One request's slot at a target, until ``release``.
 
-    ``tokens`` are to be read for it and ``ahead_tokens`` before it;
-    ``expected_seconds`` is the time until it is read, as it looked when it was sent.
-    ``copy_from`` is the engine that it copies shared parts of the prompt from;
-    ``is_cold`` says that the target has started a moment ago. A plain target had
-    ``fullness`` requests under way for each of its places, this one among them.
+    The engine has to read ``tokens`` for it, and ``ahead_tokens`` before them;
+    ``expected_seconds`` is the estimate at sending of the time until it is read.
+    ``copy_from`` is the address of the engine to copy shared parts of the prompt from;
+    ``is_cold`` says that the target has started recently. ``fullness`` is the number
+    of running requests for each slot of a plain target, this one included.
     """
 
     target_id: str
@@ -79,7 +80,7 @@
     sent_at_seconds: float = 0.0
     expected_seconds: float = 0.0
     rate_tokens: float = 0.0
-    waits_for_place: bool = False
+    waits_for_slot: bool = False
     copy_from: str | None = None
     is_cold: bool = False
     fullness: float = 0.0
