--- a/sesameford/gateway/candidates.py
+++ b/sesameford/gateway/candidates.py
@@ -1,7 +1,7 @@
-"""Which targets of a service a request may go to, before any is preferred.
+"""Determines which targets of a service a request may be sent to.
 
-Not those of evacuated data centres or of other regions than the request's homes, and
-cold ones only with a permit.
+Targets in evacuated data centres and outside the request's home regions are excluded,
+and cold targets need a permit. The choice among the rest is made in ``placement``.
 """
 
 import logging
@@ -22,7 +22,7 @@
 
 
 class NoTargetReason(StrEnum):
-    """Why a request has no target to go to."""
+    """Why no target is available for a request."""
 
     NO_TARGET = "no-target"
     NOT_AT_HOME = "no-target-at-home"
@@ -31,31 +31,31 @@
 
 
 class Candidates:
-    """The targets of a table, by service, as far as they may get work.
+    """The targets of a table that may get work, by service.
 
     Args:
-        table: The targets.
+        table: The targets and their heartbeats.
         regions: The region of each data centre.
-        restarted: Called with the id of a target that has started again under it.
+        on_restarted: Called with the id of a target that restarted under it.
     """
 
     def __init__(
         self,
         table: HeartbeatTable,
         regions: Mapping[str, str],
-        restarted: Callable[[str], None],
+        on_restarted: Callable[[str], None],
     ) -> None:
         self.cold = make_cold_targets(table)
         self._table = table
         self._regions = regions
-        self._restarted = restarted
+        self._on_restarted = on_restarted
         self._incarnations: dict[str, int] = {}
         self._by_service: dict[str, list[HeartbeatEntry]] = {}
         self._evacuated: frozenset[str] = frozenset()
-        self._seen_changes = -1
+        self._indexed_changes = -1
 
     def configure(self, tree: EffectiveTree, now_seconds: float) -> bool:
-        """Take a tree that comes into force; return whether evacuations changed."""
+        """Apply a tree that comes into force; return whether evacuations changed."""
         evacuated = tree.evacuated_data_centres
         restored = self._evacuated - evacuated
         self.cold.configure(tree.services, restored, now_seconds)
@@ -66,77 +66,80 @@
         for data_centre in restored:
             logger.info("evacuation ended", extra={"data_centre": data_centre})
         self._evacuated = evacuated
-        self._seen_changes = -1
+        self._indexed_changes = -1
         return True
 
     def of_service(
         self, service: str, homes: frozenset[str] | None = None
     ) -> list[HeartbeatEntry]:
-        """Return the targets of a service that get work.
+        """Return the targets of a service that may get work.
 
         Args:
             service: The service.
             homes: The regions in which they may be, None for all.
         """
-        self._refresh()
+        self._refresh_index()
         return self._at_home(self._by_service.get(service, []), homes)
 
     def permitted(
         self, found: list[HeartbeatEntry], now_seconds: float
     ) -> list[HeartbeatEntry]:
-        """Return those of some targets that one more request may be sent to."""
+        """Return the given targets except cold ones without a permit."""
         if not self.cold.are_any(now_seconds):
             return found
         return [
-            known
-            for known in found
-            if not self.cold.is_cold(known, now_seconds)
-            or self.cold.may_send(known, now_seconds)
+            entry
+            for entry in found
+            if not self.cold.is_cold(entry, now_seconds)
+            or self.cold.may_send(entry, now_seconds)
         ]
 
     def warm(
         self, found: list[HeartbeatEntry], now_seconds: float
     ) -> list[HeartbeatEntry]:
-        """Return those of some targets that are not cold."""
+        """Return the given targets except cold ones."""
         if not self.cold.are_any(now_seconds):
             return found
-        return [known for known in found if not self.cold.is_cold(known, now_seconds)]
+        return [entry for entry in found if not self.cold.is_cold(entry, now_seconds)]
 
     def cold_ids(
         self, found: list[HeartbeatEntry], now_seconds: float
     ) -> frozenset[str]:
-        """Return the ids of those of some targets that are cold."""
+        """Return the ids of the cold ones among the given targets."""
         if not self.cold.are_any(now_seconds):
             return frozenset()
         return frozenset(
-            known.row.target_id
-            for known in found
-            if self.cold.is_cold(known, now_seconds)
+            entry.row.target_id
+            for entry in found
+            if self.cold.is_cold(entry, now_seconds)
         )
 
     def cold_rates_requests(self, now_seconds: float) -> dict[int, float]:
-        """Return what each cold target that gets work takes a second, by short name."""
+        """Return the requests a second that cold targets accept, by short name.
+
+        Only of cold targets that may get work.
+        """
         rates = {}
-        for known in self._cold(now_seconds):
-            rate_requests = self.cold.rate_requests(known, now_seconds)
+        for entry in self._cold_targets(now_seconds):
+            rate_requests = self.cold.rate_requests(entry, now_seconds)
             if rate_requests is not None:
-                rates[short_name(known.row.target_id)] = rate_requests
+                rates[short_name(entry.row.target_id)] = rate_requests
         return rates
 
     def lacks_permits(self, now_seconds: float) -> bool:
-        """Return whether there is a cold target that nothing may be sent to."""
+        """Return whether this router has no permit for some cold target."""
         return any(
-            not self.cold.may_send(known, now_seconds)
-            for known in self._cold(now_seconds)
+            not self.cold.may_send(entry, now_seconds)
+            for entry in self._cold_targets(now_seconds)
         )
 
-    def use_permit(self, known: HeartbeatEntry, now_seconds: float) -> bool:
-        """Use up the permit that a request needs, and return whether it needs one."""
+    def use_permit(self, entry: HeartbeatEntry, now_seconds: float) -> bool:
+        """Use a permit if the target of a request is cold; return whether it is."""
         is_cold = self.cold.are_any(now_seconds) and self.cold.is_cold(
-            known, now_seconds
+            entry, now_seconds
         )
         if is_cold:
-            self.cold.sent(known)
+            self.cold.sent(entry)
         return is_cold
 
     def no_target_reason(
@@ -146,87 +149,91 @@
         now_seconds: float,
         homes: frozenset[str] | None = None,
     ) -> NoTargetReason:
-        """Return why there is no target for a request.
+        """Return why no target is available for a request.
 
         Args:
-            service: The service it is for.
-            tried: Targets that had it already.
+            service: The service that it is for.
+            tried: Targets that it was already sent to.
             now_seconds: The present time.
             homes: The regions in which it may run, None for all.
         """
-        ready = self._ready((service,))
+        ready = self._ready_targets((service,))
         at_home = self._at_home(ready, homes)
         if ready and not at_home:
             return NoTargetReason.NOT_AT_HOME
-        left = [known for known in at_home if known.row.target_id not in tried]
-        if left and all(one.row.data_centre in self._evacuated for one in left):
+        untried = [entry for entry in at_home if entry.row.target_id not in tried]
+        if untried and all(
+            target.row.data_centre in self._evacuated for target in untried
+        ):
             return NoTargetReason.EVACUATED
-        if any(self.cold.is_cold(known, now_seconds) for known in left):
+        if any(self.cold.is_cold(entry, now_seconds) for entry in untried):
             return NoTargetReason.COLD
         return NoTargetReason.NO_TARGET
 
     def available_part(self, services: Collection[str], now_seconds: float) -> float:
-        """Return the part of the targets of some services that take work as usual.
+        """Return the part of the targets of some services that accept work normally.
 
-        Those of evacuated data centres get none, and cold ones next to none.
+        Those in evacuated data centres get none, and cold ones almost none.
         """
         if not self._evacuated and not self.cold.are_any(now_seconds):
             return 1.0
-        ready = len(self._ready(services))
+        ready = len(self._ready_targets(services))
         available = sum(
             len(self.warm(self.of_service(service), now_seconds))
             for service in services
         )
         return available / ready if ready else 1.0
 
-    def _ready(self, services: Collection[str]) -> list[HeartbeatEntry]:
-        """Return the targets of some services, those of evacuated data centres too."""
+    def _ready_targets(self, services: Collection[str]) -> list[HeartbeatEntry]:
+        """Return the ready targets of some services, evacuated ones included."""
         return [
-            known
-            for known in self._table.known.values()
-            if known.row.service in services and known.row.state is TargetState.READY
+            entry
+            for entry in self._table.known.values()
+            if entry.row.service in services and entry.row.state is TargetState.READY
         ]
 
-    def _cold(self, now_seconds: float) -> list[HeartbeatEntry]:
-        """Return the cold targets that get work."""
+    def _cold_targets(self, now_seconds: float) -> list[HeartbeatEntry]:
+        """Return the cold targets that may get work."""
         if not self.cold.are_any(now_seconds):
             return []
-        self._refresh()
+        self._refresh_index()
         found = chain.from_iterable(self._by_service.values())
-        return [known for known in found if self.cold.is_cold(known, now_seconds)]
+        return [entry for entry in found if self.cold.is_cold(entry, now_seconds)]
 
     def _at_home(
         self, found: list[HeartbeatEntry], homes: frozenset[str] | None
     ) -> list[HeartbeatEntry]:
-        """Return the targets in some regions; one of an unknown region is in none."""
+        """Return the targets in some regions; those of unknown regions are in none."""
         if homes is None:
             return found
         return [
-            known
-            for known in found
-            if self._regions.get(known.row.data_centre) in homes
+            entry
+            for entry in found
+            if self._regions.get(entry.row.data_centre) in homes
         ]
 
-    def _refresh(self) -> None:
-        if self._seen_changes == self._table.changes:
+    def _refresh_index(self) -> None:
+        if self._indexed_changes == self._table.changes:
             return
-        self._seen_changes = self._table.changes
+        self._indexed_changes = self._table.changes
         self._by_service = {}
-        for known in self._table.known.values():
-            self._note_incarnation(known)
-            is_evacuated = known.row.data_centre in self._evacuated
-            if known.row.state is TargetState.READY and not is_evacuated:
-                self._by_service.setdefault(known.row.service, []).append(known)
-
-    def _note_incarnation(self, known: HeartbeatEntry) -> None:
-        target_id, incarnation = known.row.target_id, known.row.incarnation
+        for entry in self._table.known.values():
+            self._record_incarnation(entry)
+            is_evacuated = entry.row.data_centre in self._evacuated
+            if entry.row.state is TargetState.READY and not is_evacuated:
+                self._by_service.setdefault(entry.row.service, []).append(entry)
+
+    def _record_incarnation(self, entry: HeartbeatEntry) -> None:
+        target_id, incarnation = entry.row.target_id, entry.row.incarnation
         if incarnation > self._incarnations.setdefault(target_id, incarnation):
             self._incarnations[target_id] = incarnation
-            self._restarted(target_id)
+            self._on_restarted(target_id)
 
 
 def make_candidates(
-    table: HeartbeatTable, regions: Mapping[str, str], restarted: Callable[[str], None]
+    table: HeartbeatTable,
+    regions: Mapping[str, str],
+    on_restarted: Callable[[str], None],
 ) -> Candidates:
-    """Return the candidates before any tree is in force; see ``Candidates``."""
-    return Candidates(table, regions, restarted)
+    """Return the candidates before a tree is in force; see ``Candidates``."""
+    return Candidates(table, regions, on_restarted)
--- a/sesameford/gateway/forward.py
+++ b/sesameford/gateway/forward.py
@@ -1,4 +1,4 @@
-"""One sending of a call to one target, and what it shows of whether the call ran."""
+"""Sends a call to one target; failures show whether the call may have run."""
 
 from asyncio import timeout_at
 from collections.abc import AsyncIterator
@@ -20,16 +20,18 @@
 from sesameford.errors import SesamefordError
 from sesameford.gateway.calls import AnswerHead, Call, SendAttempt, WireAdapter
 
-# A target in another data centre answers within some hundredths; one that is dark would
-# hold each call up. A lost first packet is sent again only after a second, which is
-# longer than a call can wait.
+# A target in another data centre accepts within some hundredths of a second; one that
+# is unreachable would delay each call. TCP resends a lost first packet only after a
+# second, which is longer than a call can wait.
 CONNECT_SECONDS = 0.3
-# Headers that the HTTP library would add by itself; a target gets the caller's alone.
-OWN_HEADERS = frozenset({"User-Agent", "Accept", "Accept-Encoding", "Content-Type"})
+# Headers that the HTTP library would add; a target receives only the caller's.
+SKIPPED_AUTO_HEADERS = frozenset(
+    {"User-Agent", "Accept", "Accept-Encoding", "Content-Type"}
+)
 
 
 class SendOutcome(StrEnum):
-    """What became of a sending that brought no answer."""
+    """How a send attempt without an answer failed."""
 
     NEVER_SENT = "never-sent"
     NOT_RUN = "not-run"
@@ -39,18 +41,18 @@
     TIMEOUT = "timeout"
 
 
-# After these the call has certainly not run at that target.
+# After these outcomes the call has certainly not run at that target.
 NOT_RUN_OUTCOMES = frozenset(
     {SendOutcome.NEVER_SENT, SendOutcome.NOT_RUN, SendOutcome.WRONG_TARGET}
 )
 
 
 class SendAttemptError(SesamefordError):
-    """A sending brought no answer.
+    """A send attempt returned no complete answer.
 
     Args:
-        outcome: What is known of the call at that target.
-        detail: What was seen.
+        outcome: How it failed, and so whether the call may have run.
+        detail: The error or the answer observed, for the log.
     """
 
     def __init__(self, outcome: SendOutcome, detail: str) -> None:
@@ -61,13 +63,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Exchange:
-    """A target's answer whose head has come and whose body is to be read."""
+    """A target's answer whose head has arrived and whose body is not read yet."""
 
     head: AnswerHead
     response: ClientResponse
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Return the body as it comes; whoever reads it bounds the time.
+        """Yield the body as it arrives; the caller must bound the time.
 
         Raises:
             SendAttemptError: It broke off.
@@ -77,13 +79,15 @@
             try:
                 chunk = await content.readany()
             except (ClientError, OSError) as error:
-                raise SendAttemptError(SendOutcome.BROKEN, _shown(error)) from error
+                raise SendAttemptError(
+                    SendOutcome.BROKEN, _describe_error(error)
+                ) from error
             if not chunk:
                 return
             yield chunk
 
     async def whole_body(self) -> bytes:
-        """Return the complete body; whoever reads it bounds the time.
+        """Return the complete body; the caller must bound the time.
 
         Raises:
             SendAttemptError: It broke off.
@@ -93,16 +97,16 @@
 
 @asynccontextmanager
 async def body_until(until_seconds: float) -> AsyncIterator[None]:
-    """Bound the time in which a body is read and passed on.
+    """Bound the time in which a body is read and forwarded.
 
-    One time-out for all of a stream, because one for each event costs a router a
-    sixth of its time: 3.6 against 3.0 ms for a stream of 38 events.
+    A stream has one timeout in all, because one for each event costs a router a sixth
+    of its time: 3.6 instead of 3.0 ms for a stream of 38 events.
 
     Args:
-        until_seconds: On the loop's clock, when to give up.
+        until_seconds: The deadline on the loop's clock.
 
     Raises:
-        SendAttemptError: The time is over.
+        SendAttemptError: The deadline has passed.
     """
     try:
         async with timeout_at(until_seconds):
@@ -113,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sender:
-    """Sends calls to targets."""
+    """Sends calls to targets over HTTP."""
 
     session: ClientSession
     wire_adapter: WireAdapter
@@ -124,27 +128,27 @@
         call: Call,
         body: bytes,
         address: str,
-        sending: SendAttempt,
+        attempt: SendAttempt,
         until_seconds: float,
     ) -> AsyncIterator[Exchange]:
         """Send a call and wait for the head of its answer.
 
-        On the way out the connection is kept if the answer was read to its end, and
-        closed if not, so that the target stops work for a caller who left.
+        On exit the connection returns to the pool if the answer was read to its end.
+        Otherwise it is closed, so that the target stops work for a caller who left.
 
         Args:
-            call: What to send.
+            call: The call.
             body: Its whole body.
-            address: The target's, ``IP:port``.
-            sending: What the system adds.
-            until_seconds: On the loop's clock, when to give up.
+            address: The target's address, ``IP:port``.
+            attempt: The data that the system adds to the call's headers.
+            until_seconds: The deadline on the loop's clock.
 
         Raises:
-            SendAttemptError: No answer of this target to this call came.
+            SendAttemptError: No answer of this target to this call arrived.
         """
-        response = await self._send(call, body, address, sending, until_seconds)
+        response = await self._send(call, body, address, attempt, until_seconds)
         try:
-            yield Exchange(self._head_of(call, response), response)
+            yield Exchange(self._check_head(call, response), response)
         finally:
             if response.content.is_eof() and response.content.exception() is None:
                 response.release()
@@ -156,11 +160,11 @@
         call: Call,
         body: bytes,
         address: str,
-        sending: SendAttempt,
+        attempt: SendAttempt,
         until_seconds: float,
     ) -> ClientResponse:
         url = URL(f"http://{address}{call.target}", encoded=True)
-        headers = CIMultiDict(self.wire_adapter.sent_headers(call, sending))
+        headers = CIMultiDict(self.wire_adapter.sent_headers(call, attempt))
         try:
             async with timeout_at(until_seconds):
                 return await self.session.request(
@@ -169,23 +173,28 @@
                     headers=headers,
                     data=body or None,
                     allow_redirects=False,
-                    skip_auto_headers=OWN_HEADERS,
+                    skip_auto_headers=SKIPPED_AUTO_HEADERS,
                 )
         except (ClientConnectorError, ConnectionTimeoutError) as error:
-            raise SendAttemptError(SendOutcome.NEVER_SENT, _shown(error)) from error
+            raise SendAttemptError(
+                SendOutcome.NEVER_SENT, _describe_error(error)
+            ) from error
         except TimeoutError as error:
             raise SendAttemptError(SendOutcome.TIMEOUT, "no answer in time") from error
         except (ClientConnectionError, ClientError, OSError) as error:
-            # Something of it may have arrived. Only the target could say that it
-            # did not run, and nothing more will be heard on this connection.
-            raise SendAttemptError(SendOutcome.LOST, _shown(error)) from error
+            # A part of the call may have arrived. Only the target could report that
+            # it did not run, and this connection delivers nothing more.
+            raise SendAttemptError(SendOutcome.LOST, _describe_error(error)) from error
 
-    def _head_of(self, call: Call, response: ClientResponse) -> AnswerHead:
-        """Check that an answer is this call's, and that it ran.
+    def _check_head(self, call: Call, response: ClientResponse) -> AnswerHead:
+        """Return an answer's head after checking that it is this call's and it ran.
 
-        A target may answer twice. The second answer then comes where the next one is
-        due, and its caller would get what belongs to another. The request's id in
-        the answer shows it, and the connection is not used again.
+        A target may answer twice. The second answer then arrives in place of the next
+        call's answer, and that call's caller would receive another caller's data. The
+        request id in the answer reveals this, and the connection is not used again.
+
+        Raises:
+            SendAttemptError: The answer is another call's, or the call did not run.
         """
         headers = [(str(name), value) for name, value in response.headers.items()]
         head = self.wire_adapter.read_answer(response.status, headers)
@@ -201,10 +210,10 @@
         return head
 
 
-def _shown(error: Exception) -> str:
+def _describe_error(error: Exception) -> str:
     return f"{type(error).__name__}: {error}"[:200]
 
 
 def make_sender(session: ClientSession, wire_adapter: WireAdapter) -> Sender:
-    """Return what sends calls over a session."""
+    """Return a sender that uses an HTTP session."""
     return Sender(session, wire_adapter)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -217,7 +217,7 @@
     assert (elsewhere.copy_from, elsewhere.tokens) == (None, 6_000)
 
 
-def has_room(placement, prompt_to_place):
+def has_spare_capacity(placement, prompt_to_place):
     bounds = (OBJECTIVE_SECONDS, 0.01, 0.025)
     return placement.has_spare_capacity("pool", prompt_to_place, ENGINE, *bounds, 0.0)
 
@@ -229,20 +229,20 @@
     of the other customers to the busy engines.
     """
     placement, _ = make_engines(4)
-    assert has_room(placement, prompt(7, shared=100))
+    assert has_spare_capacity(placement, prompt(7, shared=100))
     placement.set_other_routers_load(
         [others_load(f"e{number}", 2, 6_000) for number in range(3)]
     )
-    assert not has_room(placement, prompt(7, shared=100))
+    assert not has_spare_capacity(placement, prompt(7, shared=100))
 
 
 def test_an_idle_engine_with_the_parts_cached_has_spare_capacity():
     placement, _ = make_engines(1)
-    assert has_room(placement, prompt(7))
+    assert has_spare_capacity(placement, prompt(7))
     placement.set_other_routers_load([others_load("e0", 4, 20_000)])
-    assert not has_room(placement, prompt(7))
+    assert not has_spare_capacity(placement, prompt(7))
     placement.set_other_routers_load([others_load("e0", 20, 0)])
-    assert not has_room(placement, prompt(7))
+    assert not has_spare_capacity(placement, prompt(7))
 
 
 def test_a_target_with_failed_connections_is_in_backoff_and_tried_again():
--- a/tests/test_plain_load.py
+++ b/tests/test_plain_load.py
@@ -1,7 +1,7 @@
-"""A plain service that is asked for more than it can do.
+"""A plain service that receives more requests than it has capacity for.
 
-The pattern: some of its targets are gone, the queues of the others fill up, and from
-then on every answer comes late. Routers hear what the others have sent somewhat late.
+The failure: some of its targets are lost, the queues of the others fill up, and from
+then on every answer is late. Routers receive the load of the others with some delay.
 """
 
 from heapq import heappop, heappush
@@ -23,7 +23,7 @@
 QUEUE = 24
 WORK_SECONDS = 0.072
 OBJECTIVE_SECONDS = 0.3
-TELL_SECONDS = 0.05
+REPORT_SECONDS = 0.05
 ROUTE = HttpRouteSettings(
     "roster",
     backends=(BackendSettings("desk", 1.0),),
@@ -32,7 +32,7 @@
 
 
 class Deps:
-    """What the check needs of a router."""
+    """The parts of a router that ``_check_queue`` uses."""
 
     def __init__(self, placement, random, clock):
         self.placement = placement
@@ -41,8 +41,8 @@
         self.queue_limits = {}
 
 
-def play(load, routers, rejects, seconds=12.0):
-    """Return how many answers came in time and late, of a part ``load`` of capacity."""
+def simulate(load, routers, rejects, seconds=12.0):
+    """Return how many answers are in time and late at ``load`` times the capacity."""
     random, clock = Random(7), [0.0]
     targets = ["t0", "t1"]
     deps = []
@@ -59,18 +59,18 @@
     running = dict.fromkeys(targets, 0)
     events, order, counts = [], 0, {"in time": 0, "late": 0}
     rate = load * len(targets) * SLOTS / WORK_SECONDS
-    arrivals, at = [], 0.0
-    while at < seconds:
-        at += random.expovariate(rate)
-        arrivals.append(at)
-    for at in arrivals:
+    arrivals, arrival_seconds = [], 0.0
+    while arrival_seconds < seconds:
+        arrival_seconds += random.expovariate(rate)
+        arrivals.append(arrival_seconds)
+    for arrival_seconds in arrivals:
         order += 1
-        heappush(events, (at, order, "arrives", None))
-    for step in range(int(seconds / TELL_SECONDS)):
+        heappush(events, (arrival_seconds, order, "arrives", None))
+    for step in range(int(seconds / REPORT_SECONDS)):
         order += 1
-        heappush(events, (step * TELL_SECONDS, order, "tell", None))
+        heappush(events, (step * REPORT_SECONDS, order, "tell", None))
 
-    def begin(name):
+    def start_waiting(name):
         nonlocal order
         while waiting[name] and running[name] < SLOTS:
             running[name] += 1
@@ -79,65 +79,65 @@
             heappush(events, (done, order, "done", (name, *waiting[name].pop(0))))
 
     while events:
-        clock[0], _, kind, what = heappop(events)
+        clock[0], _, kind, payload = heappop(events)
         if kind == "tell":
-            for one in deps:
+            for router in deps:
                 loads = [
                     TargetLoad(short_name(name), running[name] + len(waiting[name]), 0)
                     for name in targets
                 ]
-                own = {load.name: load for load in one.placement.loads(clock[0])}
-                one.placement.set_other_routers_load(
+                own = {load.name: load for load in router.placement.loads(clock[0])}
+                router.placement.set_other_routers_load(
                     TargetLoad(load.name, load.requests - own[load.name].requests, 0)
                     if load.name in own
                     else load
                     for load in loads
                 )
         elif kind == "arrives":
-            one = random.choice(deps)
+            router = random.choice(deps)
             if rejects:
                 try:
-                    _check_queue(one, ROUTE, "club", "desk")
+                    _check_queue(router, ROUTE, "club", "desk")
                 except Refusal:
                     continue
-            lease = one.placement.choose(
+            reservation = router.placement.choose(
                 "desk", None, ServiceSettings("desk"), 0.3, frozenset(), clock[0]
             )
-            if running[lease.target_id] + len(waiting[lease.target_id]) >= (
+            if running[reservation.target_id] + len(waiting[reservation.target_id]) >= (
                 SLOTS + QUEUE
             ):
-                one.placement.release(lease, clock[0])
+                router.placement.release(reservation, clock[0])
                 continue
-            waiting[lease.target_id].append((one, lease, clock[0]))
-            begin(lease.target_id)
+            waiting[reservation.target_id].append((router, reservation, clock[0]))
+            start_waiting(reservation.target_id)
         else:
-            name, one, lease, since = what
+            name, router, reservation, arrived_at_seconds = payload
             running[name] -= 1
-            one.placement.record_answer_data(lease, clock[0])
-            one.placement.record_work_time("desk", lease, clock[0])
-            one.placement.release(lease, clock[0])
-            is_late = clock[0] - since > OBJECTIVE_SECONDS
+            router.placement.record_answer_data(reservation, clock[0])
+            router.placement.record_work_time("desk", reservation, clock[0])
+            router.placement.release(reservation, clock[0])
+            is_late = clock[0] - arrived_at_seconds > OBJECTIVE_SECONDS
             counts["late" if is_late else "in time"] += 1
-            begin(name)
+            start_waiting(name)
     return counts["in time"], counts["late"]
 
 
 @pytest.mark.parametrize("routers", [7, 73])
 @pytest.mark.parametrize("load", [1.1, 1.5, 3.0])
-def test_a_service_that_is_asked_too_much_answers_in_time_whom_it_serves(load, routers):
-    in_time, late = play(load, routers, rejects=True)
-    before_in_time, _ = play(load, routers, rejects=False)
-    assert in_time > 1.3 * before_in_time
+def test_an_overloaded_service_answers_admitted_requests_in_time(load, routers):
+    in_time, late = simulate(load, routers, rejects=True)
+    in_time_without_rejections, _ = simulate(load, routers, rejects=False)
+    assert in_time > 1.3 * in_time_without_rejections
     assert in_time > 5 * late
 
 
 @pytest.mark.parametrize("routers", [7, 73])
-def test_a_service_that_can_do_all_rejects_next_to_nobody(routers):
-    served = sum(play(0.7, routers, rejects=True))
-    assert served > 0.99 * sum(play(0.7, routers, rejects=False))
+def test_a_service_within_its_capacity_rejects_almost_no_requests(routers):
+    served = sum(simulate(0.7, routers, rejects=True))
+    assert served > 0.99 * sum(simulate(0.7, routers, rejects=False))
 
 
-def test_an_idle_service_rejects_nobody_however_long_its_work_takes():
+def test_an_idle_service_rejects_no_requests_however_long_its_work_takes():
     limit = make_queue_limit()
     for step in range(200):
         part = limit.update(0.4, 0.4, OBJECTIVE_SECONDS, step * 0.06)
