--- a/sesameford/gateway/cold_permits.py
+++ b/sesameford/gateway/cold_permits.py
@@ -11,14 +11,14 @@
 from dataclasses import dataclass, field
 
 from sesameford.gateway.cold_targets import PERMIT_SECONDS
-from sesameford.gateway.forward import CONNECT_SECONDS
+from sesameford.gateway.forward import CONNECT_TIMEOUT_SECONDS
 from sesameford.settings import ColdBoundSettings
 
 # The time in which the bound counts requests.
 BOUND_SECONDS = 1.0
 # Permits that are given out within this time may all be used within the bound's. A
 # request whose connection is opened anew arrives later than its permit was used.
-WINDOW_SECONDS = BOUND_SECONDS + PERMIT_SECONDS + CONNECT_SECONDS
+WINDOW_SECONDS = BOUND_SECONDS + PERMIT_SECONDS + CONNECT_TIMEOUT_SECONDS
 # Replicas of a data centre that know each other differently for a moment, after one has
 # been replaced, may both give out permits; one part is left for that.
 SPARE_PARTS = 1
--- a/sesameford/gateway/forward.py
+++ b/sesameford/gateway/forward.py
@@ -23,7 +23,7 @@
 # A target in another data centre accepts within some hundredths of a second; one that
 # is unreachable would delay each call. TCP resends a lost first packet only after a
 # second, which is longer than a call can wait.
-CONNECT_SECONDS = 0.3
+CONNECT_TIMEOUT_SECONDS = 0.3
 # Headers that the HTTP library would add; a target receives only the caller's.
 SKIPPED_AUTO_HEADERS = frozenset(
     {"User-Agent", "Accept", "Accept-Encoding", "Content-Type"}
--- a/sesameford/gateway/gateway_node.py
+++ b/sesameford/gateway/gateway_node.py
@@ -31,7 +31,7 @@
 from sesameford.gateway.calls import WireAdapter
 from sesameford.gateway.cold_permits import make_cold_permits
 from sesameford.gateway.fleet_sums import LiveInstances
-from sesameford.gateway.forward import CONNECT_SECONDS, make_sender
+from sesameford.gateway.forward import CONNECT_TIMEOUT_SECONDS, make_sender
 from sesameford.gateway.gateway_metrics import make_gateway_metrics
 from sesameford.gateway.load_report import REPORT_SECONDS
 from sesameford.gateway.load_system import make_load_system
@@ -213,7 +213,7 @@
             is_crowded: Whether few connections of callers are left.
         """
         loop = asyncio.get_running_loop()
-        self._session = make_session(None, IDLE_SECONDS, CONNECT_SECONDS)
+        self._session = make_session(None, IDLE_SECONDS, CONNECT_TIMEOUT_SECONDS)
         return GatewayDeps(
             self._edge,
             make_sender(self._session, self._edge),
