--- a/sesameford/router_state.py
+++ b/sesameford/router_state.py
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class RouterState:
-    """What waits, what runs, what was served and what is known of the fleet."""
+    """A router's queues, running attempts and service, and its view of the fleet."""
 
     tree: EffectiveTree = field(default_factory=EffectiveTree)
     targets: Mapping[str, Target] = field(default_factory=dict)
@@ -24,10 +24,10 @@
     queues: Queues = field(default_factory=Queues)
     limits: Limits = field(default_factory=Limits)
     attempts: Attempts = field(default_factory=Attempts)
-    standings: AccountVirtualTimes = field(default_factory=AccountVirtualTimes)
+    virtual_times: AccountVirtualTimes = field(default_factory=AccountVirtualTimes)
     totals: OwnTotals = field(default_factory=OwnTotals)
-    paces: dict[str, CompletionTotals] = field(default_factory=dict)
-    reported_wanted: dict[str, float] = field(default_factory=dict)
+    completion_totals: dict[str, CompletionTotals] = field(default_factory=dict)
+    reported_demand_rates: dict[str, float] = field(default_factory=dict)
 
     def pool_of_target(self, target_id: str) -> str | None:
         """Return the pool that a target belongs to."""
@@ -35,7 +35,7 @@
         return self.pool_of.get(target.serves[0]) if target and target.serves else None
 
     def free_slots(self, link: ReportLink, now_seconds: float) -> dict[str, int]:
-        """Return by target the slots held here that nothing runs on."""
+        """Return the number of held slots without an attempt, by target."""
         if not link.holds(now_seconds):
             return {}
         free = {}
