--- a/sesameford/gateway/placement.py
+++ b/sesameford/gateway/placement.py
@@ -49,7 +49,7 @@
 # Backoff of a target after a failed connection, doubled with each further failure.
 INITIAL_BACKOFF_SECONDS = 0.5
 MAX_BACKOFF_SECONDS = 8.0
-# A target whose last heartbeat at any replica is older than this is used last.
+# A target without a heartbeat at any replica for so many intervals is used last.
 MAX_MISSED_HEARTBEATS = 3.5
 # Above this fraction of busy slots an engine has no spare capacity for customers over
 # their share: its memory then serves better for the prompts of the others.
--- a/sesameford/gateway/serve.py
+++ b/sesameford/gateway/serve.py
@@ -85,7 +85,7 @@
     """Send a call to one target after another until one answers.
 
     Raises:
-        Refusal: No target answered and the caller has received nothing.
+        Refusal: No target can take the call, or no attempt returned an answer.
         CutError: The answer broke off after the caller received a part of it.
     """
     deps.second_sends.record_request(context.service, deps.now())
