--- a/sesameford/gateway/candidates.py
+++ b/sesameford/gateway/candidates.py
@@ -188,7 +188,7 @@
         """Return the ready targets of some services, evacuated ones included."""
         return [
             entry
-            for entry in self._table.known.values()
+            for entry in self._table.entries.values()
             if entry.row.service in services and entry.row.state is TargetState.READY
         ]
 
@@ -217,7 +217,7 @@
             return
         self._indexed_changes = self._table.changes
         self._by_service = {}
-        for entry in self._table.known.values():
+        for entry in self._table.entries.values():
             self._record_incarnation(entry)
             is_evacuated = entry.row.data_centre in self._evacuated
             if entry.row.state is TargetState.READY and not is_evacuated:
--- a/sesameford/gateway/placement.py
+++ b/sesameford/gateway/placement.py
@@ -416,7 +416,7 @@
 
     def failed_parts_by_id(self, rows: Iterable[FailingTarget]) -> dict[str, float]:
         """Return the failed part by target id, of targets in this router's table."""
-        found = ((self._table.by_name(row.name), row.failed_part) for row in rows)
+        found = ((self._table.find_by_name(row.name), row.failed_part) for row in rows)
         return {entry.row.target_id: part for entry, part in found if entry is not None}
 
     def record_used_parts(
@@ -429,7 +429,7 @@
             engines: The settings by service.
         """
         for row in rows:
-            entry = self._table.by_name(row.name)
+            entry = self._table.find_by_name(row.name)
             if entry is None:
                 # This instance's table has no such target yet, or no longer.
                 continue
@@ -443,7 +443,7 @@
         """Set the load that all other routers have at each target."""
         self._mean_waits.clear()
         by_name = {load.name: load for load in loads}
-        for target_id in self._table.known:
+        for target_id in self._table.entries:
             load = by_name.get(short_name(target_id))
             record = self._record(target_id)
             record.others_requests = load.requests if load else 0
@@ -451,7 +451,9 @@
 
     def forget(self) -> None:
         """Delete the records of targets that the table no longer contains."""
-        for target_id in [one for one in self._records if one not in self._table.known]:
+        for target_id in [
+            one for one in self._records if one not in self._table.entries
+        ]:
             del self._records[target_id]
 
     def _usable(
--- a/sesameford/gateway/serve.py
+++ b/sesameford/gateway/serve.py
@@ -62,11 +62,11 @@
             call = read_call(deps, request.method, request.raw_path, request.headers)
         admitted = early.admitted if early else decide(deps, call, arrived_at_seconds)
         context = await begin(deps, request, call, admitted, arrived_at_seconds)
-        deps.metrics.opened()
+        deps.metrics.record_call_start()
         try:
             response = await _send_until_answered(deps, request, context)
         finally:
-            deps.metrics.closed()
+            deps.metrics.record_call_end()
         log_end(deps, context, "answered", "")
         return response
     except CutError as cut:
@@ -233,7 +233,9 @@
     async for chunk in exchange.chunks():
         if context.record_event(deps.now()):
             if context.call.prompt is not None:
-                deps.gate.began(context.customer or "", context.call.prompt.cost_tokens)
+                deps.gate.record_start(
+                    context.customer or "", context.call.prompt.cost_tokens
+                )
                 _record_first_event_time(deps, context)
             deps.placement.record_first_event(reservation, deps.now())
         deps.placement.record_answer_data(reservation, deps.now())
@@ -306,7 +308,7 @@
     says nothing about how long prompts wait.
     """
     if context.send_attempts == 1 and context.first_event_seconds is not None:
-        deps.gate.timeliness.began(
+        deps.gate.timeliness.record_answer_start(
             context.first_event_seconds, context.route.objective_seconds
         )
 
@@ -317,7 +319,7 @@
     """Record a request that its target accepted and failed."""
     deps.placement.record_bad_answer(reservation.target_id)
     if context.call.prompt is not None and context.first_event_seconds is None:
-        deps.gate.failed(context.call.prompt.cost_tokens)
+        deps.gate.record_failure(context.call.prompt.cost_tokens)
 
 
 def _may_send_again(
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -40,7 +40,7 @@
         for number in range(2):
             name = f"{data_centre}{number}"
             ready = TargetState.READY
-            table.beat(
+            table.handle_heartbeat(
                 HeartbeatRow(name, 1, "pool", f"{name}:1", data_centre, 4, ready), 0.0
             )
     return make_placement(table, "a", 1000.0, Random(1), REGIONS)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -26,7 +26,7 @@
     """Return a placement over engines e0, e1 and so on, and their table."""
     table = make_heartbeat_table()
     for number in range(count):
-        table.beat(engine(f"e{number}", 1, service, slots), 0.0)
+        table.handle_heartbeat(engine(f"e{number}", 1, service, slots), 0.0)
     return make_placement(table, "a", HEARTBEAT_SECONDS, Random(1)), table
 
 
@@ -296,13 +296,13 @@
     first = choose(placement, prompt(7), now=0.0)
     placement.record_first_event(first, 0.2)
     assert choose(placement, prompt(7), now=5.0).tokens == 1_000
-    table.beat(replace(engine("e0", 1), incarnation=9), 6.0)
+    table.handle_heartbeat(replace(engine("e0", 1), incarnation=9), 6.0)
     assert choose(placement, prompt(7), now=7.0).tokens == 6_000
 
 
 def test_a_draining_target_gets_no_requests():
     placement, table = make_engines(2)
-    table.beat(engine("e0", 2, state=TargetState.DRAINING), 1.0)
+    table.handle_heartbeat(engine("e0", 2, state=TargetState.DRAINING), 1.0)
     chosen = {choose(placement, prompt(n), now=1.0).target_id for n in range(30)}
     assert chosen == {"e1"}
 
@@ -313,7 +313,7 @@
     Its targets may all be well; without them its callers would be refused.
     """
     placement, table = make_engines(2)
-    table.beat(engine("e1", 2), 60.0)
+    table.handle_heartbeat(engine("e1", 2), 60.0)
     assert choose(placement, prompt(1), now=60.0).target_id == "e1"
     assert choose(placement, prompt(1), now=600.0) is not None
 
