--- a/benchmarks/log_fleet.py
+++ b/benchmarks/log_fleet.py
@@ -108,7 +108,7 @@
             self.sent_bytes_by[sender] += size_bytes
             service = self.services[receiver]
             loop = asyncio.get_running_loop()
-            loop.call_soon(service.received, sender, 1, message, time.monotonic())
+            loop.call_soon(service.handle_message, sender, 1, message, time.monotonic())
 
         return send
 
--- a/sesameford/gateway/gateway_node.py
+++ b/sesameford/gateway/gateway_node.py
@@ -435,7 +435,7 @@
             case TreeSteps() | TreeSnapshot() | TreeRequest():
                 self._tree.received(sender_id, message)
             case LogPayload() | ProposalRequest() | ProposalReply():
-                self._log.received(sender_id, incarnation, message, now_seconds)
+                self._log.handle_message(sender_id, incarnation, message, now_seconds)
             case _:
                 raise PeerError(f"{type(message).__name__} has no place here")
 
--- a/sesameford/inbox.py
+++ b/sesameford/inbox.py
@@ -72,7 +72,7 @@
             case TreeSteps() | TreeSnapshot() | TreeRequest():
                 deps.tree.received(sender_id, message)
             case LogPayload() | ProposalRequest() | ProposalReply():
-                deps.log.received(sender_id, incarnation, message, now_seconds)
+                deps.log.handle_message(sender_id, incarnation, message, now_seconds)
             case SuspectUpdate():
                 deps.outcomes.merge_suspect_update(message, now_seconds)
             case StoredAnswerQuery():
--- a/sesameford/log_service.py
+++ b/sesameford/log_service.py
@@ -153,7 +153,7 @@
         self._note_leader()
         self._flush_soon()
 
-    def received(
+    def handle_message(
         self, sender_id: str, incarnation: int, message: Message, now_seconds: float
     ) -> None:
         """Take a message of the log from another instance.
--- a/tests/log_fakes.py
+++ b/tests/log_fakes.py
@@ -103,4 +103,4 @@
                 continue
             service = self.services.get(receiver_id)
             if service is not None:
-                service.received(sender_id, 1, message, self.now_seconds)
+                service.handle_message(sender_id, 1, message, self.now_seconds)
