--- a/sesameford/instance.py
+++ b/sesameford/instance.py
@@ -56,7 +56,7 @@
 from sesameford.traces import make_tracer, make_tracer_provider
 from sesameford.tree_changes import HistoryEntry, TreeMachine
 from sesameford.tree_holder import TreeHolderDeps, make_tree_holder
-from sesameford.voters import wanted_voters
+from sesameford.voters import desired_voters
 
 logger = logging.getLogger(__name__)
 
@@ -279,7 +279,7 @@
     def _configure(self, tree: EffectiveTree) -> None:
         self.router.configure(tree)
         self.outcomes.configure(tree)
-        self._log.set_wanted_voters(wanted_voters(tree, self._replica_ids))
+        self._log.set_desired_voters(desired_voters(tree, self._replica_ids))
         own = tree.instances.get(self._settings.instance_id)
         is_drained = own is not None and own.drain
         if self._stop.drained(is_drained, self._now()):
--- a/sesameford/log_service.py
+++ b/sesameford/log_service.py
@@ -84,7 +84,7 @@
         self._flusher: Flusher | None = None
         self._proposer = Proposer(self._peer_ids)
         self._waiting: dict[str, _Waiting] = {}
-        self._wanted_voters: frozenset[str] | None = None
+        self._desired_voters: frozenset[str] | None = None
         self._known_leader: tuple[int, str | None] = (0, None)
         self._stopped = False
 
@@ -123,7 +123,7 @@
             self._seed,
             self._now(),
         )
-        self._replica.core.desired_voters = self._wanted_voters
+        self._replica.core.desired_voters = self._desired_voters
         self._replica.core.may_found = self._may_found
         self._flusher = Flusher(
             self._replica, self._now, self._fail, self._sync_in_thread
@@ -203,9 +203,9 @@
             raise ProposalRefusedError("the id waits for another command")
         return await shield(pending.future)
 
-    def set_wanted_voters(self, instance_ids: frozenset[str] | None) -> None:
+    def set_desired_voters(self, instance_ids: frozenset[str] | None) -> None:
         """Let voters follow the settings tree, one change at a time; None: all."""
-        self._wanted_voters = instance_ids
+        self._desired_voters = instance_ids
         if self._replica is not None:
             self._replica.core.desired_voters = instance_ids
 
--- a/sesameford/voters.py
+++ b/sesameford/voters.py
@@ -5,7 +5,7 @@
 from sesameford.effective import EffectiveTree
 
 
-def wanted_voters(
+def desired_voters(
     tree: EffectiveTree, replica_ids: Iterable[str]
 ) -> frozenset[str] | None:
     """Return the instances that are to vote.
--- a/tests/test_instance.py
+++ b/tests/test_instance.py
@@ -15,7 +15,7 @@
 from sesameford.instance import Instance
 from sesameford.settings import DaemonSettings, Listen, OperatorKey, Peer
 from sesameford.tree_replication import TreeReplication
-from sesameford.voters import wanted_voters
+from sesameford.voters import desired_voters
 
 OPERATOR_KEY = "the-operators-key"
 OPERATOR = {"Authorization": f"Bearer {OPERATOR_KEY}"}
@@ -131,7 +131,7 @@
 
     def wanted(*unwanted):
         instances = {one: InstanceSettings(one, voter=False) for one in unwanted}
-        return wanted_voters(EffectiveTree(1, instances=instances), ("a", "b"))
+        return desired_voters(EffectiveTree(1, instances=instances), ("a", "b"))
 
     assert wanted() is None
     assert wanted("a", "x") == {"b"}
--- a/tests/test_log_service.py
+++ b/tests/test_log_service.py
@@ -161,7 +161,7 @@
     fleet = three(tmp_path)
     await proposed(fleet, "a", "p1", b"x")
     for service in fleet.services.values():
-        service.set_wanted_voters(frozenset({"a", "b"}))
+        service.set_desired_voters(frozenset({"a", "b"}))
 
     def voters():
         rows = fleet.services["a"].status().members
@@ -169,7 +169,7 @@
 
     assert await fleet.run(5, until=lambda: voters() == {"a", "b"})
     for service in fleet.services.values():
-        service.set_wanted_voters(None)
+        service.set_desired_voters(None)
     assert await fleet.run(5, until=lambda: voters() == {"a", "b", "c"})
 
 
