--- a/sesameford/inbox.py
+++ b/sesameford/inbox.py
@@ -80,9 +80,9 @@
             case StoredAnswer():
                 deps.words.received(message)
             case ModelUseQuery():
-                deps.orders.wanted(sender_id, message)
+                deps.orders.handle_model_use_query(sender_id, message)
             case ModelUse():
-                deps.orders.told(sender_id, incarnation, message)
+                deps.orders.handle_model_use(sender_id, incarnation, message)
             case _ if isinstance(message, _TARGET_MESSAGES):
                 if _take_target_message(deps.targets, sender_id, message, now_seconds):
                     deps.router.tick()
--- a/sesameford/order_service.py
+++ b/sesameford/order_service.py
@@ -104,7 +104,7 @@
         for order in due:
             self._consider(order, declared[order.target_id], now_seconds)
 
-    def wanted(self, sender_id: str, message: ModelUseQuery) -> None:
+    def handle_model_use_query(self, sender_id: str, message: ModelUseQuery) -> None:
         """Tell an orderer how many requests of a model run from here.
 
         Under an older tree new ones may still be sent there, so nothing is told
@@ -116,7 +116,9 @@
             use = ModelUse(message.target_id, message.model, revision, running)
             self._deps.send(Outgoing(sender_id, use))
 
-    def told(self, sender_id: str, incarnation: int, message: ModelUse) -> None:
+    def handle_model_use(
+        self, sender_id: str, incarnation: int, message: ModelUse
+    ) -> None:
         """Take another instance's answer, unless it is of an older tree.
 
         A model that was taken away, brought back and taken away again has had zeros
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -116,9 +116,9 @@
     service.tick()
     processes = [("e1", 1), ("e2", 7)]
     book, settings_ = service._book, declared["g"]
-    service.told("e2", 7, ModelUse("g", "m1", 1, 0))
+    service.handle_model_use("e2", 7, ModelUse("g", "m1", 1, 0))
     assert not book.may_unload(UNLOAD, settings_, processes, 10.0)
-    service.told("e2", 7, ModelUse("g", "m1", 3, 0))
+    service.handle_model_use("e2", 7, ModelUse("g", "m1", 3, 0))
     assert book.may_unload(UNLOAD, settings_, processes, 10.0)
     await service.close()
 
