--- a/sesameford/gateway/gateway_node.py
+++ b/sesameford/gateway/gateway_node.py
@@ -344,7 +344,7 @@
                 self._roster.log_peer_ids(self._log.is_empty()),
                 may_found=self._roster.may_found(),
             )
-            self._log.set_desired_voters(self._log.succession(now_seconds))
+            self._log.set_desired_voters(self._log.choose_voters(now_seconds))
             self._log.tick(now_seconds)
         for peer_id in self._links.redial_silent_peers(now_seconds):
             self._introduce(peer_id)
--- a/sesameford/leases.py
+++ b/sesameford/leases.py
@@ -85,7 +85,7 @@
         self._mine: LeaseView | None = None
 
     def decide(self, now_seconds: float) -> LeaseCommand | None:
-        """Return the command to propose now; its answer goes to ``answered``."""
+        """Return the command to propose now; its answer goes to ``record_answer``."""
         if self._asked:
             return None
         waited_out = self._waited_out(now_seconds)
@@ -99,7 +99,7 @@
         self._asked = True
         return LeaseCommand(command, now_seconds)
 
-    def answered(
+    def record_answer(
         self, asked: LeaseCommand, answer: FencingAnswer | None, now_seconds: float
     ) -> None:
         """Take the answer to a command.
--- a/sesameford/log_service.py
+++ b/sesameford/log_service.py
@@ -228,7 +228,7 @@
         replica = self._living_replica()
         return replica is not None and replica.core.log.last_index == 0
 
-    def succession(self, now_seconds: float) -> frozenset[str] | None:
+    def choose_voters(self, now_seconds: float) -> frozenset[str] | None:
         """Return who is to vote by who answers, None where this is no leader."""
         replica = self._living_replica()
         if replica is None:
--- a/sesameford/order_service.py
+++ b/sesameford/order_service.py
@@ -272,7 +272,7 @@
             )
         except LogError as error:
             logger.info("no lease for orders: %s", error)
-        keeper.answered(asked, answer, self._deps.now())
+        keeper.record_answer(asked, answer, self._deps.now())
 
     def _start(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -34,7 +34,7 @@
     def serve(self, keeper: LeaseManager, now: float) -> None:
         asked = keeper.decide(now)
         if asked is not None:
-            keeper.answered(asked, self.apply(asked.command), now)
+            keeper.record_answer(asked, self.apply(asked.command), now)
 
 
 def test_a_lease_is_taken_over_only_in_the_state_that_was_waited_out():
@@ -96,7 +96,7 @@
     keeper = make_lease_manager("l", "a", 5.0)
     asked = keeper.decide(0.0)
     log.apply(asked.command)
-    keeper.answered(asked, None, 5.0)
+    keeper.record_answer(asked, None, 5.0)
     log.serve(keeper, 5.1)
     assert keeper.lease(5.1) is None
     log.serve(keeper, 5.2)
--- a/tests/test_log_fuzz.py
+++ b/tests/test_log_fuzz.py
@@ -67,7 +67,7 @@
         if pending is not None:
             manager, number, lease_command = pending
             clock = self._lease_manager_clock(number)
-            manager.answered(lease_command, decode_answer(answer), clock)
+            manager.record_answer(lease_command, decode_answer(answer), clock)
 
     @rule(ticks=st.integers(1, 30), seed=seeds, loss=st.sampled_from([0, 0, 0.1, 0.4]))
     def pass_time(self, ticks: int, seed: int, loss: float) -> None:
@@ -120,7 +120,9 @@
         ):
             if owner == number:
                 del self.pending_lease_commands[proposal_id]
-                manager.answered(lease_command, None, self._lease_manager_clock(number))
+                manager.record_answer(
+                    lease_command, None, self._lease_manager_clock(number)
+                )
 
     @rule(number=st.integers(0, 1))
     def restart_keeper(self, number: int) -> None:
