--- a/sesameford/gateway/gateway_node.py
+++ b/sesameford/gateway/gateway_node.py
@@ -151,7 +151,7 @@
             self._send_log,
             self._now,
             seed=seed,
-            renew=self._new_machines,
+            make_initial_machines=self._new_machines,
         )
         self.operator_calls = make_operator_calls(
             self._log.propose, lambda: self._machine, self._data_centres, self._now
--- a/sesameford/instance.py
+++ b/sesameford/instance.py
@@ -154,7 +154,7 @@
             self._send_log,
             self._now,
             seed=crc32(settings.instance_id.encode()) ^ self.incarnation,
-            renew=self._new_machines,
+            make_initial_machines=self._new_machines,
         )
         self._words = OwnerQueries(settings.instance_id, self._send)
         self.outcomes = Outcomes(
--- a/sesameford/log_service.py
+++ b/sesameford/log_service.py
@@ -65,9 +65,9 @@
         now: Callable[[], float],
         seed: int,
         sync_in_thread: bool,
-        renew: Callable[[], Sequence[StateMachine]] | None = None,
+        make_initial_machines: Callable[[], Sequence[StateMachine]] | None = None,
     ) -> None:
-        self._renew = renew
+        self._make_initial_machines = make_initial_machines
         self._reopen_at_seconds = 0.0
         self._reopening: Task[None] | None = None
         self._may_found = True
@@ -99,7 +99,7 @@
         try:
             storage, stored = self._open(self._folder)
         except StorageError as error:
-            if self._renew is None:
+            if self._make_initial_machines is None:
                 raise
             self._fail(error)
             return
@@ -418,7 +418,7 @@
 
     def _reopen_if_due(self, now_seconds: float) -> None:
         """Begin to read the disk anew some time after it failed."""
-        if self._failure is None or self._renew is None or self._stopped:
+        if self._failure is None or self._make_initial_machines is None or self._stopped:
             return
         if now_seconds < self._reopen_at_seconds:
             return
@@ -434,7 +434,7 @@
         nothing rests on what the failed sync left in memory.
         """
         assert self._folder is not None
-        assert self._renew is not None
+        assert self._make_initial_machines is not None
         try:
             if self._flusher is not None:
                 await self._flusher.stop()
@@ -448,7 +448,7 @@
         if self._stopped:
             storage.close()
             return
-        self._machines = self._renew()
+        self._machines = self._make_initial_machines()
         self._begin(storage, stored)
         self._failure = None
         _log.warning("replica takes part again")
@@ -463,7 +463,7 @@
     now: Callable[[], float],
     seed: int,
     sync_in_thread: bool = True,
-    renew: Callable[[], Sequence[StateMachine]] | None = None,
+    make_initial_machines: Callable[[], Sequence[StateMachine]] | None = None,
 ) -> LogService:
     """Return the replicated log of an instance; ``start`` begins it.
 
@@ -489,5 +489,5 @@
         now,
         seed,
         sync_in_thread,
-        renew,
+        make_initial_machines,
     )
--- a/tests/log_fakes.py
+++ b/tests/log_fakes.py
@@ -62,7 +62,7 @@
             lambda: self.now_seconds,
             seed=len(self.services),
             sync_in_thread=False,
-            renew=new_machines if renews else None,
+            make_initial_machines=new_machines if renews else None,
         )
         service.start()
         self.services[instance_id] = service
