--- a/sesameford/log_flusher.py
+++ b/sesameford/log_flusher.py
@@ -1,8 +1,8 @@
-"""Carries out a replica's effects, with the syncs in a thread of their own.
+"""Carries out a replica's effects, with the syncs in a separate thread.
 
-Decisions run on the loop's thread. Only writing and syncing run on another, one
-job at a time, because a sync on a disk takes milliseconds in which streams to
-callers would stand still.
+Decisions run on the event loop's thread. Only writes and syncs run on the other
+thread, one job at a time, because a sync takes milliseconds, which would stall the
+streams to callers.
 """
 
 from asyncio import Future, get_running_loop, wait
@@ -18,8 +18,8 @@
 
     Args:
         replica: The replica.
-        now: The present time in seconds.
-        failed: Called once with the failure; nothing is flushed after it.
+        now: Returns the current time in seconds.
+        on_failure: Called once with the failure; nothing is flushed after it.
         in_thread: Whether a thread does the syncs.
     """
 
@@ -27,34 +27,34 @@
         self,
         replica: Replica,
         now: Callable[[], float],
-        failed: Callable[[LogError], None],
+        on_failure: Callable[[LogError], None],
         in_thread: bool,
     ) -> None:
         self._replica = replica
         self._now = now
-        self._failed = failed
+        self._on_failure = on_failure
         self._executor = ThreadPoolExecutor(1, "log") if in_thread else None
-        self._is_due = False
+        self._is_scheduled = False
         self._job: Future[None] | None = None
         self._stopped = False
 
-    def flush_soon(self) -> None:
-        """Flush once the loop has taken all that is there, so that one sync serves.
+    def schedule_flush(self) -> None:
+        """Flush after the events that are ready now, so that they share one sync.
 
-        Without a running loop, in a test in virtual time, flush here.
+        Without a running loop, in a test in virtual time, this flushes at once.
         """
-        if self._is_due or self._job or self._stopped:
+        if self._is_scheduled or self._job or self._stopped:
             return
         try:
             loop = get_running_loop()
         except RuntimeError:
-            self.flush_here()
+            self.flush_inline()
             return
-        self._is_due = True
-        loop.call_soon(self._begin)
+        self._is_scheduled = True
+        loop.call_soon(self._start_job)
 
-    def flush_here(self) -> None:
-        """Flush on this thread until nothing is left to do."""
+    def flush_inline(self) -> None:
+        """Flush on the calling thread until nothing is left to do."""
         try:
             while self._replica.flush(self._now()):
                 pass
@@ -62,39 +62,39 @@
             self.fail(error)
 
     def fail(self, error: LogError) -> None:
-        """Flush nothing any more: what the disk holds is not known."""
+        """Stop flushing for good: the content of the disk is unknown."""
         self._stopped = True
-        self._failed(error)
+        self._on_failure(error)
 
     async def stop(self) -> None:
-        """Finish the job under way and begin no other."""
+        """Wait for the running job and start no other."""
         self._stopped = True
         if self._job is not None:
             await wait([self._job])
         if self._executor is not None:
             self._executor.shutdown()
 
-    def _begin(self) -> None:
-        """Begin a job of the disk."""
-        self._is_due = False
+    def _start_job(self) -> None:
+        """Start the next flush job."""
+        self._is_scheduled = False
         if self._stopped or self._job is not None:
             return
         if self._executor is None:
-            self.flush_here()
+            self.flush_inline()
             return
         job = self._replica.begin_flush(self._now())
         if job is None:
             return
         if not job.needs_disk:
-            self._finish(job)
+            self._finish_job(job)
             return
         self._job = get_running_loop().run_in_executor(
             self._executor, self._replica.persist, job
         )
-        self._job.add_done_callback(lambda done: self._done(job, done))
+        self._job.add_done_callback(lambda done: self._handle_persisted(job, done))
 
-    def _done(self, job: FlushJob, done: Future[None]) -> None:
-        """Finish a job that the thread has persisted, and begin the next."""
+    def _handle_persisted(self, job: FlushJob, done: Future[None]) -> None:
+        """Finish a job that the thread has persisted."""
         self._job = None
         error = done.exception()
         if isinstance(error, LogError):
@@ -102,12 +102,12 @@
             return
         if error is not None:
             raise error
-        self._finish(job)
+        self._finish_job(job)
 
-    def _finish(self, job: FlushJob) -> None:
-        """Send and apply what waited for a job."""
+    def _finish_job(self, job: FlushJob) -> None:
+        """Send and apply what waited for a job, and schedule the next flush."""
         try:
             self._replica.finish_flush(job, self._now())
         except LogError as error:
             self.fail(error)
-        self.flush_soon()
+        self.schedule_flush()
--- a/sesameford/log_proposer.py
+++ b/sesameford/log_proposer.py
@@ -1,4 +1,4 @@
-"""An instance's own proposals that have no answer yet, and where to send them."""
+"""The pending proposals of one instance: resends, timeouts and the receiver to use."""
 
 import logging
 from asyncio import Future
@@ -10,15 +10,15 @@
 
 logger = logging.getLogger(__name__)
 
-RESEND_SECONDS = 0.5
-# An election and a resend fit in; a caller should not wait longer for a refusal.
-ANSWER_SECONDS = 5.0
-MOST_WAITING = 20_000
+RESEND_INTERVAL_SECONDS = 0.5
+# Covers an election and a resend; a caller should not wait longer for a refusal.
+ANSWER_TIMEOUT_SECONDS = 5.0
+MAX_PENDING_PROPOSALS = 20_000
 
 
 @dataclass(slots=True)
 class PendingProposal:
-    """A proposal, sent again until its answer comes or its time is over."""
+    """A proposal that is resent until it is answered or times out."""
 
     command: Command
     future: Future[bytes]
@@ -27,10 +27,10 @@
 
 
 class Proposer:
-    """The proposals of one instance.
+    """The pending proposals of one instance.
 
     Args:
-        replica_ids: The other instances with disks, any of which knows the leader.
+        replica_ids: The other instances with disks; any of them can name the leader.
     """
 
     def __init__(self, replica_ids: tuple[str, ...]) -> None:
@@ -40,78 +40,78 @@
         self.leader_hint: str | None = None
 
     def set_replicas(self, replica_ids: tuple[str, ...]) -> None:
-        """Take other instances to ask, where they are found as they come."""
+        """Replace the instances to send to, for those discovered at run time."""
         self._replica_ids = replica_ids
 
     def __len__(self) -> int:
         return len(self._pending)
 
     def find(self, proposal_id: str) -> PendingProposal | None:
-        """Return a proposal that has no answer yet, or None."""
+        """Return a pending proposal, or None."""
         return self._pending.get(proposal_id)
 
     def add(
         self, command: Command, future: Future[bytes], now_seconds: float
     ) -> PendingProposal:
-        """Remember a proposal.
+        """Add a pending proposal.
 
         Raises:
-            NoQuorumError: Too many wait already; this one was sent nowhere.
+            NoQuorumError: Too many proposals are pending; this one was not sent.
         """
-        if len(self._pending) >= MOST_WAITING:
-            raise NoQuorumError(f"{MOST_WAITING} proposals wait for a majority")
+        if len(self._pending) >= MAX_PENDING_PROPOSALS:
+            raise NoQuorumError(
+                f"{MAX_PENDING_PROPOSALS} proposals wait for a majority"
+            )
         pending = PendingProposal(
             command,
             future,
-            give_up_at_seconds=now_seconds + ANSWER_SECONDS,
-            send_at_seconds=now_seconds + RESEND_SECONDS,
+            give_up_at_seconds=now_seconds + ANSWER_TIMEOUT_SECONDS,
+            send_at_seconds=now_seconds + RESEND_INTERVAL_SECONDS,
         )
         self._pending[command.proposal_id] = pending
         return pending
 
-    def answered(self, proposal_id: str, answer: bytes) -> None:
-        """End a proposal with its answer."""
+    def complete(self, proposal_id: str, answer: bytes) -> None:
+        """Complete a proposal with its answer."""
         pending = self._pending.pop(proposal_id, None)
         if pending is not None and not pending.future.done():
             pending.future.set_result(answer)
 
-    def failed(self, proposal_id: str, error: Exception) -> None:
-        """End a proposal with an error."""
+    def fail(self, proposal_id: str, error: Exception) -> None:
+        """Fail a proposal with an error."""
         pending = self._pending.pop(proposal_id, None)
         if pending is not None and not pending.future.done():
             pending.future.set_exception(error)
-            # Whoever proposed it may have left, and the loop would complain then. Those
-            # that still wait get the error all the same.
+            # Marks the exception as retrieved: if the caller has left, the event loop
+            # would log it. A caller that still waits gets the error all the same.
             pending.future.exception()
             logger.info(
-                "a proposal has failed",
+                "proposal failed",
                 extra={"proposal": proposal_id, "reason": str(error)},
             )
 
     def fail_all(self, error: Exception) -> None:
-        """End all proposals with an error."""
+        """Fail all proposals with an error."""
         for proposal_id in list(self._pending):
-            self.failed(proposal_id, error)
+            self.fail(proposal_id, error)
 
-    def due(self, now_seconds: float) -> Sequence[PendingProposal]:
-        """Return the proposals to send now; give up those whose time is over."""
+    def collect_due(self, now_seconds: float) -> Sequence[PendingProposal]:
+        """Return the proposals to resend now, and fail those that timed out."""
         due = []
         for proposal_id, pending in list(self._pending.items()):
             if now_seconds >= pending.give_up_at_seconds:
-                self.failed(
-                    proposal_id, NoQuorumError("no majority of replicas answers")
-                )
+                self.fail(proposal_id, NoQuorumError("no majority of replicas answers"))
             elif now_seconds >= pending.send_at_seconds:
-                pending.send_at_seconds = now_seconds + RESEND_SECONDS
+                pending.send_at_seconds = now_seconds + RESEND_INTERVAL_SECONDS
                 due.append(pending)
         if due:
-            # Whoever was asked did not answer; the leader may be another by now.
+            # The last receiver did not answer; the leader may have changed.
             self._turn += 1
             self.leader_hint = None
         return due
 
-    def receiver(self, leader_id: str | None) -> str | None:
-        """Return whom to send a proposal to: the leader, or each replica in turn."""
+    def choose_receiver(self, leader_id: str | None) -> str | None:
+        """Return the receiver of a proposal: the leader, or each replica in turn."""
         if leader_id is not None:
             return leader_id
         if not self._replica_ids:
--- a/tests/log_fakes.py
+++ b/tests/log_fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces of the log: a machine, a network, a clock."""
+"""Fakes at the interfaces of the log: a state machine, a network, a clock."""
 
 from asyncio import sleep
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 
 
 class ListMachine:
-    """Keeps every command and answers with its place in the list."""
+    """A state machine that stores every command and answers with the list's length."""
 
     name = "list"
 
@@ -28,7 +28,7 @@
 
 
 class Fleet:
-    """Log services in virtual time, joined by a network that can cut links."""
+    """Log services in virtual time on a network that can disconnect instances."""
 
     def __init__(self, disks: dict[str, Path | None]) -> None:
         self.now_seconds = 100.0
@@ -40,12 +40,12 @@
         for instance_id in disks:
             self.start(instance_id)
 
-    def start(self, instance_id: str, renews: bool = False) -> LogService:
-        """Start an instance from what its disk holds.
+    def start(self, instance_id: str, reopens: bool = False) -> LogService:
+        """Start an instance from the content of its disk.
 
         Args:
-            instance_id: Which one.
-            renews: Whether it reads its disk anew after a failure.
+            instance_id: The instance.
+            reopens: Whether it reopens its data folder after a failure.
         """
 
         def new_machines() -> list[ListMachine]:
@@ -62,7 +62,7 @@
             lambda: self.now_seconds,
             seed=len(self.services),
             sync_in_thread=False,
-            make_initial_machines=new_machines if renews else None,
+            make_initial_machines=new_machines if reopens else None,
         )
         service.start()
         self.services[instance_id] = service
@@ -71,7 +71,7 @@
     async def run(
         self, seconds: float, until: Callable[[], bool] | None = None
     ) -> bool:
-        """Let virtual time pass; True as soon as a condition holds."""
+        """Advance virtual time; return True as soon as a condition holds."""
         end_seconds = self.now_seconds + seconds
         while self.now_seconds < end_seconds:
             if until is not None and until():
@@ -85,7 +85,7 @@
         return until is not None and until()
 
     def leader(self) -> str | None:
-        """Return the instance that leads and can be reached."""
+        """Return the leader that is connected, or None."""
         for instance_id, service in self.services.items():
             if service.role() == "leader" and instance_id not in self.cut:
                 return instance_id
