--- a/sesameford/log_files.py
+++ b/sesameford/log_files.py
@@ -1,4 +1,4 @@
-"""File operations of the log, each of which can fail and says so."""
+"""File operations of the log; each reports a failure as a ``StorageError``."""
 
 import fcntl
 import os
@@ -10,7 +10,7 @@
 
 
 def open_for_append(file: Path) -> int:
-    """Open a new or present file at its end and return the descriptor."""
+    """Open a file for appending, made if missing, and return the descriptor."""
     try:
         return os.open(file, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
     except OSError as error:
@@ -20,14 +20,14 @@
 def write_all(descriptor: int, data: bytes, file: Path, offset_bytes: int) -> None:
     """Write all of the data.
 
-    A write may take only a part, on a disk that is nearly full for one; without
-    the loop the rest would be missing from the middle of the log.
+    A write may be short, for example on a disk that is nearly full; without the loop
+    the rest would be missing from the middle of the log.
 
     Args:
-        descriptor: Where to write.
-        data: What to write.
+        descriptor: The open file.
+        data: The bytes to write.
         file: The file's name, for errors.
-        offset_bytes: Where the data begins in the file, for errors.
+        offset_bytes: The offset of the data in the file, for errors.
 
     Raises:
         StorageError: The disk is full or failed.
@@ -48,8 +48,8 @@
     """Sync a file's data.
 
     Raises:
-        StorageError: What was written since the last sync may be lost. A second
-            sync would report success without having written it.
+        StorageError: Data written since the last sync may be lost. A second sync
+            would report success without having written it.
     """
     try:
         os.fdatasync(descriptor)
@@ -58,7 +58,7 @@
 
 
 def sync_folder(folder: Path) -> None:
-    """Sync a folder, so that new and renamed files are found after a crash."""
+    """Sync a folder, so that new and renamed files exist after a crash."""
     try:
         descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
@@ -70,11 +70,11 @@
 
 
 def replace_file(file: Path, data: bytes) -> None:
-    """Write a file whole or not at all, synced.
+    """Replace a file atomically and sync it.
 
     Args:
-        file: The file; what it held before stays until the new content is synced.
-        data: Its new content.
+        file: The file; its old content stays until the new content is synced.
+        data: The new content.
 
     Raises:
         StorageError: The disk is full or failed.
@@ -103,7 +103,7 @@
 
 
 def remove_file(file: Path) -> None:
-    """Remove a file if it is there."""
+    """Remove a file if it exists."""
     try:
         file.unlink(missing_ok=True)
     except OSError as error:
@@ -111,19 +111,19 @@
 
 
 def lock_folder(folder: Path) -> int:
-    """Take the data folder for this process alone.
+    """Lock the data folder for this process.
 
     Two daemons on one folder would write over each other's records, and the next
     start would find a damaged log.
 
     Args:
-        folder: The data folder, made where it is missing.
+        folder: The data folder, made if missing.
 
     Returns:
         A descriptor that holds the lock until it is closed or the process ends.
 
     Raises:
-        StorageError: Another process has the folder.
+        StorageError: Another process holds the lock.
     """
     file = folder / "lock"
     try:
@@ -142,5 +142,5 @@
 
 
 def storage_error(file: Path, offset_bytes: int, error: OSError) -> StorageError:
-    """Return the error of this layer for one of the operating system."""
+    """Return the ``StorageError`` for an error of the operating system."""
     return StorageError(str(file), offset_bytes, error.strerror or str(error))
--- a/sesameford/log_records.py
+++ b/sesameford/log_records.py
@@ -1,4 +1,4 @@
-"""Records of the log's files: their coding, checksums and what a bad one means."""
+"""Records of the log's files: encoding, checksums, torn and damaged records."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 from sesameford.errors import StorageError
 
 _MAGIC = b"SFR1"
-# Magic, kind, length of the payload, its checksum.
+# Magic, kind, payload length in bytes, payload checksum.
 _HEADER = Struct("<4sBIQ")
 _HEADER_CHECK = Struct("<I")
 HEADER_BYTES = _HEADER.size + _HEADER_CHECK.size
@@ -18,7 +18,7 @@
 
 
 class RecordKind(IntEnum):
-    """What a record holds."""
+    """The type of a record's payload."""
 
     SEGMENT = 1
     HARD_STATE = 2
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """A record and where it stands in its file."""
+    """A record and its offset in the file."""
 
     kind: RecordKind
     payload: bytes
@@ -41,8 +41,8 @@
     """Return the bytes of a record.
 
     Args:
-        kind: What the payload is.
-        payload: The bytes to guard.
+        kind: The type of the payload.
+        payload: The bytes to store.
 
     Returns:
         A header with its own checksum, then the payload.
@@ -55,26 +55,26 @@
 def read_records(data: bytes, file: str, may_be_torn: bool) -> Iterator[Record]:
     """Yield the records of a file.
 
-    A crash between write and sync leaves a torn tail, which nobody was told of,
-    so it is passed over. A record that was once synced and is bad now is another
-    matter: this replica has acknowledged it, and going on without it could make
-    an accepted change vanish. The two are told apart by their shape: a torn tail
-    ends early or has a sector that was never written, and nothing good follows.
+    A crash between write and sync leaves a torn tail. It was never acknowledged, so
+    it is ignored. A record that was once synced and is invalid now is an error: this
+    replica has acknowledged it, and going on without it could lose an accepted
+    change. A torn tail is recognised by its shape: it ends early or has a sector
+    that was never written, and no valid record follows.
 
     Args:
-        data: The whole file.
-        file: Its name, for errors.
+        data: The content of the whole file.
+        file: The file's name, for errors.
         may_be_torn: Whether this is the file that was last written to.
 
     Yields:
-        The good records in their order.
+        The valid records in their order.
 
     Raises:
-        StorageError: A record is bad for another reason than a crash.
+        StorageError: A record is invalid for another reason than a crash.
     """
     offset = 0
     while offset < len(data):
-        record = _record_at(data, offset)
+        record = _valid_record_at(data, offset)
         if record is None:
             if may_be_torn and _is_torn(data, offset):
                 return
@@ -83,8 +83,8 @@
         offset += HEADER_BYTES + len(record.payload)
 
 
-def _record_at(data: bytes, offset: int) -> Record | None:
-    """Return the good record at an offset, or None."""
+def _valid_record_at(data: bytes, offset: int) -> Record | None:
+    """Return the valid record at an offset, or None."""
     header_end = offset + _HEADER.size
     payload_start = offset + HEADER_BYTES
     if payload_start > len(data):
@@ -102,13 +102,13 @@
 
 
 def _is_torn(data: bytes, offset: int) -> bool:
-    """Return whether what stands from an offset on looks like a torn write."""
-    if _good_record_after(data, offset):
+    """Return whether the data from an offset on looks like a torn write."""
+    if _has_valid_record_after(data, offset):
         return False
-    return _ends_early(data, offset) or _has_unwritten_sector(data, offset)
+    return _ends_within_record(data, offset) or _has_unwritten_sector(data, offset)
 
 
-def _ends_early(data: bytes, offset: int) -> bool:
+def _ends_within_record(data: bytes, offset: int) -> bool:
     """Return whether the file ends within the record at an offset."""
     header_end = offset + _HEADER.size
     payload_start = offset + HEADER_BYTES
@@ -122,7 +122,7 @@
 
 
 def _has_unwritten_sector(data: bytes, offset: int) -> bool:
-    """Return whether a sector, or all up to the file's end, is still zeros."""
+    """Return whether a sector, or the rest of the file, contains only zeros."""
     if not any(data[offset:]):
         return True
     first = -(-offset // _SECTOR_BYTES) * _SECTOR_BYTES
@@ -133,11 +133,11 @@
     )
 
 
-def _good_record_after(data: bytes, offset: int) -> bool:
-    """Return whether a good record stands anywhere behind an offset."""
+def _has_valid_record_after(data: bytes, offset: int) -> bool:
+    """Return whether any valid record follows an offset."""
     found = data.find(_MAGIC, offset + 1)
     while found != -1:
-        if _record_at(data, found) is not None:
+        if _valid_record_at(data, found) is not None:
             return True
         found = data.find(_MAGIC, found + 1)
     return False
--- a/sesameford/log_replay.py
+++ b/sesameford/log_replay.py
@@ -1,4 +1,4 @@
-"""Reads a log folder: what its snapshot and its records say in their order."""
+"""Reads a log folder: replays the records on top of the snapshot."""
 
 from pathlib import Path
 from typing import TypeVar
@@ -16,15 +16,15 @@
 SEGMENT_GLOB = "log-" + "[0-9]" * 10
 
 
-class Segment(Struct, frozen=True, array_like=True):
-    """The head of a segment, with the hard state when it was begun."""
+class SegmentHeader(Struct, frozen=True, array_like=True):
+    """The first record of a segment, with the hard state when it was started."""
 
     sequence: int
     hard_state: HardState
 
 
-class Reset(Struct, frozen=True, array_like=True):
-    """The entries before this record are void; a snapshot stands for them."""
+class LogReset(Struct, frozen=True, array_like=True):
+    """Invalidates the entries before this record; a snapshot replaces them."""
 
     index: int
     index_term: int
@@ -34,11 +34,11 @@
 
 _entry_decoder = Decoder(Entry)
 _hard_state_decoder = Decoder(HardState)
-_segment_decoder = Decoder(Segment)
+_segment_decoder = Decoder(SegmentHeader)
 
 
 class Replay:
-    """What the records say when they are read in their order."""
+    """The state that results from the records in their order."""
 
     def __init__(self, image: SnapshotImage | None) -> None:
         self.image = image
@@ -47,26 +47,30 @@
         self.tail = bytearray()
         self.highest_index = 0
 
-    def take(self, record: Record, file: Path) -> None:
-        """Take the next record.
+    def apply_record(self, record: Record, file: Path) -> None:
+        """Apply the next record.
 
         Raises:
-            StorageError: It does not follow from those before it.
+            StorageError: The record does not follow from those before it.
         """
         match record.kind:
             case RecordKind.HARD_STATE:
-                self.hard_state = decoded(_hard_state_decoder, record, file)
+                self.hard_state = decode_payload(_hard_state_decoder, record, file)
             case RecordKind.ENTRY:
-                self._take_entry(decoded(_entry_decoder, record, file), record, file)
+                self._apply_entry(
+                    decode_payload(_entry_decoder, record, file), record, file
+                )
             case RecordKind.RESET:
                 self.entries.clear()
             case _:
                 raise StorageError(
-                    str(file), record.offset_bytes, f"a {record.kind.name} record here"
+                    str(file),
+                    record.offset_bytes,
+                    f"unexpected {record.kind.name} record",
                 )
 
-    def _take_entry(self, entry: Entry, record: Record, file: Path) -> None:
-        """Append an entry, or put it in place of those from its index on."""
+    def _apply_entry(self, entry: Entry, record: Record, file: Path) -> None:
+        """Append an entry; it replaces all entries from its index on."""
         self.highest_index = max(self.highest_index, entry.index)
         if self.entries:
             position = entry.index - self.entries[0].index
@@ -76,24 +80,24 @@
                 return
         snapshot_index = self.image.index if self.image else 0
         if entry.index > snapshot_index + 1 or self.entries:
-            detail = f"entry {entry.index} does not follow what stands before it"
+            detail = f"entry {entry.index} does not follow the entries before it"
             raise StorageError(str(file), record.offset_bytes, detail)
         self.entries.append(entry)
 
-    def state(self, me: Member, file: Path) -> StoredState:
-        """Return what is left once the snapshot is set in place of what it covers."""
+    def make_state(self, identity: Member, file: Path) -> StoredState:
+        """Return the stored state without the entries that the snapshot covers."""
         entries = self.entries
         if self.image is not None:
-            entries = _after_snapshot(self.image, entries)
-        return StoredState(me, self.hard_state, self.image, tuple(entries))
+            entries = _entries_after(self.image, entries)
+        return StoredState(identity, self.hard_state, self.image, tuple(entries))
 
 
-def _after_snapshot(image: SnapshotImage, entries: list[Entry]) -> list[Entry]:
+def _entries_after(image: SnapshotImage, entries: list[Entry]) -> list[Entry]:
     """Return the entries that follow a snapshot.
 
-    After a crash between a leader's snapshot and the new segment, entries that
-    contradict the snapshot still stand in the old one. They are dropped, as the
-    leader's snapshot said they should be.
+    After a crash between a leader's snapshot and the new segment, the old segment
+    still contains entries that contradict the snapshot. They are dropped, as the
+    leader's snapshot replaces them.
     """
     if not entries:
         return []
@@ -108,26 +112,26 @@
 
 
 def replay_segment(file: Path, files: list[Path], replay: Replay) -> int:
-    """Read one segment and return its highest index."""
+    """Replay one segment and return the highest index so far."""
     is_last = file == files[-1]
     expected = segment_sequence(files[0]) + files.index(file)
     if segment_sequence(file) != expected:
         missing = segment_file(file.parent, expected)
         raise StorageError(str(missing), 0, "missing between the log's segments")
     records = read_records(read_file(file), str(file), may_be_torn=is_last)
-    head = next(records, None)
-    if head is None or head.kind is not RecordKind.SEGMENT:
+    header = next(records, None)
+    if header is None or header.kind is not RecordKind.SEGMENT:
         raise StorageError(str(file), 0, "does not begin as a segment of the log")
-    replay.hard_state = decoded(_segment_decoder, head, file).hard_state
+    replay.hard_state = decode_payload(_segment_decoder, header, file).hard_state
     replay.tail.clear()
     for record in records:
-        replay.take(record, file)
+        replay.apply_record(record, file)
         replay.tail += encode_record(record.kind, record.payload)
     return replay.highest_index
 
 
 def load_snapshot(file: Path) -> SnapshotImage | None:
-    """Return the snapshot on the disk, if there is one."""
+    """Return the snapshot on the disk, or None."""
     if not file.exists():
         return None
     records = list(read_records(read_file(file), str(file), may_be_torn=False))
@@ -149,8 +153,12 @@
     return int(file.name.removeprefix("log-"))
 
 
-def decoded(decoder: Decoder[Decoded], record: Record, file: Path) -> Decoded:
-    """Return a record's payload in its type."""
+def decode_payload(decoder: Decoder[Decoded], record: Record, file: Path) -> Decoded:
+    """Return a record's payload, decoded.
+
+    Raises:
+        StorageError: The payload doesn't have the type.
+    """
     try:
         return decoder.decode(record.payload)
     except (DecodeError, ValidationError, UnicodeDecodeError) as error:
--- a/sesameford/log_status.py
+++ b/sesameford/log_status.py
@@ -1,4 +1,4 @@
-"""What an instance knows of the log, for the status page."""
+"""The state of the replicated log as one instance sees it, for the status page."""
 
 from dataclasses import dataclass
 
@@ -11,7 +11,8 @@
 class MemberStatus:
     """One replica as this instance sees it.
 
-    ``match_index`` and ``silent_seconds`` are known to the leader alone.
+    ``match_index`` and ``silent_seconds`` are None where this instance is not the
+    leader, except in its own row.
     """
 
     instance_id: str
@@ -25,9 +26,9 @@
 class ReplicaLogStatus:
     """The replicated log as one instance sees it.
 
-    ``role`` is learner, follower, pre-candidate, candidate, leader, ``none`` where
-    there is no disk, or ``failed`` where the disk or the log can't be trusted any
-    more; ``failure`` then says why.
+    ``role`` is learner, follower, pre-candidate, candidate, leader, ``none`` without
+    a disk, or ``failed`` after a failure of the disk or the log; ``failure`` then
+    contains the error.
     """
 
     role: str
@@ -51,8 +52,8 @@
 
     Args:
         replica: The replica.
-        waiting_proposals: How many proposals of this instance have no answer yet.
-        now_seconds: The present time.
+        waiting_proposals: The number of pending proposals of this instance.
+        now_seconds: The current time.
     """
     core = replica.core
     leads = core.role is Role.LEADER
@@ -74,7 +75,7 @@
 
 
 def _members(replica: Replica, now_seconds: float) -> tuple[MemberStatus, ...]:
-    """Return the members of the newest configuration."""
+    """Return a row for each member of the newest configuration."""
     core = replica.core
     configuration = core.log.configuration
     if configuration is None:
--- a/sesameford/log_storage.py
+++ b/sesameford/log_storage.py
@@ -1,7 +1,7 @@
 """The log on the disk: segments of records, a snapshot and the replica's identity.
 
-One folder belongs to one process. ``identity`` holds the incarnation, made once
-per disk; ``log-<sequence>`` files hold entries and hard states in the order in
+A folder is used by one process at a time. ``identity`` holds the incarnation, made
+once per disk; ``log-<sequence>`` files hold entries and hard states in the order in
 which they were written; ``snapshot`` holds the newest snapshot. See docs/LOG.md.
 """
 
@@ -29,10 +29,10 @@
 from sesameford.log_records import RecordKind, encode_record, read_records
 from sesameford.log_replay import (
     SEGMENT_GLOB,
+    LogReset,
     Replay,
-    Reset,
-    Segment,
-    decoded,
+    SegmentHeader,
+    decode_payload,
     load_snapshot,
     replay_segment,
     segment_file,
@@ -45,25 +45,25 @@
 
 
 class LogStorage(Protocol):
-    """Where a replica keeps what it must not forget."""
+    """The durable storage of a replica."""
 
     def write(self, batch: "Batch") -> None:
-        """Write a batch; it lasts only after ``sync``."""
+        """Write a batch; it is durable only after ``sync``."""
 
     def sync(self) -> None:
-        """Make all that was written last. After a failure nothing more is taken."""
+        """Make all written batches durable; after a failure every call fails."""
 
     def save_snapshot(self, image: SnapshotImage) -> None:
-        """Put the newest snapshot on the disk, synced, and drop what it covers."""
+        """Write and sync the newest snapshot, and remove the segments it covers."""
 
     def close(self) -> None:
-        """Let go of the folder."""
+        """Close the folder and release its lock."""
 
 
 class Batch(Struct, frozen=True):
-    """What is written and synced together.
+    """The changes that are written and synced together.
 
-    With a ``snapshot``, all entries written before are void: it stands for them.
+    A ``snapshot`` replaces all entries written before.
     """
 
     hard_state: HardState | None
@@ -71,14 +71,14 @@
     snapshot: SnapshotImage | None = None
 
 
-_IDENTITY = "identity"
-_SNAPSHOT = "snapshot"
+_IDENTITY_FILE = "identity"
+_SNAPSHOT_FILE = "snapshot"
 _encoder = Encoder()
 _member_decoder = Decoder(Member)
 
 
 class FileStorage:
-    """A log folder held open; made by ``open_storage``."""
+    """An open and locked log folder; made by ``open_storage``."""
 
     def __init__(self, folder: Path, lock: int, state: StoredState) -> None:
         self._folder = folder
@@ -94,38 +94,41 @@
 
     @property
     def failure(self) -> StorageError | None:
-        """Why this storage takes nothing more, if so."""
+        """The first failure, after which every operation is refused, or None."""
         return self._failure
 
     def write(self, batch: Batch) -> None:
-        """Write a batch; it lasts only after ``sync``.
+        """Write a batch; it is durable only after ``sync``.
 
         Raises:
-            StorageError: Now or before; nothing more may be acknowledged.
+            StorageError: This or an earlier operation failed; nothing more may be
+                acknowledged.
         """
-        self._guard(lambda: self._write(batch))
+        self._run_guarded(lambda: self._write(batch))
 
     def sync(self) -> None:
-        """Make all that was written last.
+        """Make all written batches durable.
 
         Raises:
-            StorageError: What was written since the last sync may be gone though
-                reads still show it. A second sync would say that all is well, so
-                this storage takes nothing more until the process starts again
-                and writes the tail anew.
+            StorageError: Data written since the last sync may be lost although reads
+                still return it. A second sync would report success, so this storage
+                refuses all operations until the folder is opened again, which
+                rewrites the tail.
         """
-        self._guard(lambda: sync_data(self._descriptor, self._file, self._size_bytes))
+        self._run_guarded(
+            lambda: sync_data(self._descriptor, self._file, self._size_bytes)
+        )
 
     def save_snapshot(self, image: SnapshotImage) -> None:
-        """Put the newest snapshot on the disk and drop the segments it covers.
+        """Write the newest snapshot and remove the segments it covers.
 
         Raises:
             StorageError: The disk is full or failed.
         """
-        self._guard(lambda: self._save_snapshot(image))
+        self._run_guarded(lambda: self._save_snapshot(image))
 
     def close(self) -> None:
-        """Let go of the folder."""
+        """Close the folder and release its lock."""
         if self._descriptor >= 0:
             os.close(self._descriptor)
             self._descriptor = -1
@@ -133,18 +136,18 @@
             os.close(self._lock)
             self._lock = -1
 
-    def begin_segment(self, sequence: int, records: bytes = b"") -> None:
-        """Begin a segment, synced, which already holds some records.
+    def start_segment(self, sequence: int, records: bytes = b"") -> None:
+        """Create and sync a segment, and use it for all further writes.
 
         Args:
             sequence: The segment's number.
-            records: Encoded records to begin with.
+            records: Encoded records that follow the segment's header.
 
         Raises:
             StorageError: The disk is full or failed.
         """
-        head = _encoder.encode(Segment(sequence, self._hard_state))
-        data = encode_record(RecordKind.SEGMENT, head) + records
+        header = _encoder.encode(SegmentHeader(sequence, self._hard_state))
+        data = encode_record(RecordKind.SEGMENT, header) + records
         file = segment_file(self._folder, sequence)
         replace_file(file, data)
         if self._descriptor >= 0:
@@ -154,12 +157,12 @@
         self._size_bytes = len(data)
         self._last_indexes[file] = self._last_index
 
-    def note_segment(self, file: Path, last_index: int) -> None:
-        """Remember an older segment, to be removed once a snapshot covers it."""
+    def record_segment(self, file: Path, last_index: int) -> None:
+        """Record an older segment, which is removed once a snapshot covers it."""
         self._last_indexes[file] = last_index
 
-    def _guard(self, operation: Callable[[], None]) -> None:
-        """Run an operation, and refuse all later ones once one has failed."""
+    def _run_guarded(self, operation: Callable[[], None]) -> None:
+        """Run an operation unless an earlier one failed; record its failure."""
         if self._failure is not None:
             raise self._failure
         try:
@@ -169,7 +172,7 @@
             raise
 
     def _write(self, batch: Batch) -> None:
-        """Write a batch as one piece."""
+        """Write a batch with one append."""
         if batch.snapshot is not None:
             self._replace_log(batch.snapshot)
         data = bytearray()
@@ -183,30 +186,30 @@
         if not data:
             return
         if self._size_bytes + len(data) > SEGMENT_LIMIT_BYTES:
-            self.begin_segment(self._sequence + 1)
+            self.start_segment(self._sequence + 1)
         write_all(self._descriptor, bytes(data), self._file, self._size_bytes)
         self._size_bytes += len(data)
         highest = max(self._last_indexes[self._file], self._last_index)
         self._last_indexes[self._file] = highest
 
     def _replace_log(self, image: SnapshotImage) -> None:
-        """Put a leader's snapshot in place of the whole log."""
-        replace_file(self._folder / _SNAPSHOT, _snapshot_bytes(image))
+        """Replace the whole log by a leader's snapshot."""
+        replace_file(self._folder / _SNAPSHOT_FILE, _encode_snapshot(image))
         self._last_index = image.index
-        self.begin_segment(self._sequence + 1, _reset_bytes(image))
+        self.start_segment(self._sequence + 1, _encode_reset(image))
         for file in [file for file in self._last_indexes if file != self._file]:
             remove_file(file)
             del self._last_indexes[file]
         sync_folder(self._folder)
 
     def _save_snapshot(self, image: SnapshotImage) -> None:
-        """Replace the snapshot, begin a segment and remove those it covers."""
-        replace_file(self._folder / _SNAPSHOT, _snapshot_bytes(image))
+        """Replace the snapshot, start a segment and remove the covered ones."""
+        replace_file(self._folder / _SNAPSHOT_FILE, _encode_snapshot(image))
         sync_data(self._descriptor, self._file, self._size_bytes)
-        self.begin_segment(self._sequence + 1)
+        self.start_segment(self._sequence + 1)
         for file, last_index in sorted(self._last_indexes.items()):
             if file == self._file or last_index > image.index:
-                # Segments go from the oldest on, so that none is ever missing.
+                # Segments are removed oldest first, so the rest has no gap.
                 break
             remove_file(file)
             del self._last_indexes[file]
@@ -216,83 +219,87 @@
 def open_storage(
     folder: Path, instance_id: str, make_incarnation: Callable[[], int]
 ) -> tuple[FileStorage, StoredState]:
-    """Open a replica's folder, or begin one on an empty disk.
+    """Open a replica's folder; an empty disk gets a new identity and a first segment.
 
     Args:
-        folder: Where the log's files live.
-        instance_id: Whose folder it is.
-        make_incarnation: Gives the number that tells this disk from all others.
+        folder: The folder of the log's files.
+        instance_id: The instance that the folder belongs to.
+        make_incarnation: Returns the number that identifies a new disk.
 
     Returns:
-        The storage and what it held.
+        The storage and its stored state.
 
     Raises:
-        StorageError: Another process has the folder, or what it holds can't be
-            trusted; the error names file and offset.
+        StorageError: Another process uses the folder, or its content is invalid;
+            the error names file and offset.
     """
     lock = lock_folder(folder)
     try:
         for leftover in folder.glob("*" + TEMPORARY_SUFFIX):
-            # A crash came before its rename, so nobody relies on its content.
+            # A crash preceded its rename, so its content was never acknowledged.
             remove_file(leftover)
-        me = _load_identity(folder, instance_id, make_incarnation)
-        return _load(folder, lock, me)
+        identity = _load_or_make_identity(folder, instance_id, make_incarnation)
+        return _load_storage(folder, lock, identity)
     except BaseException:
         os.close(lock)
         raise
 
 
-def _load_identity(
+def _load_or_make_identity(
     folder: Path, instance_id: str, make_incarnation: Callable[[], int]
 ) -> Member:
-    """Return the identity on the disk; make it on an empty one."""
-    file = folder / _IDENTITY
+    """Return the identity on the disk; an empty disk gets a new one."""
+    file = folder / _IDENTITY_FILE
     if not file.exists():
-        if (folder / _SNAPSHOT).exists() or any(folder.glob(SEGMENT_GLOB)):
+        if (folder / _SNAPSHOT_FILE).exists() or any(folder.glob(SEGMENT_GLOB)):
             raise StorageError(str(file), 0, "missing beside the files of a log")
-        me = Member(instance_id, make_incarnation())
-        replace_file(file, encode_record(RecordKind.IDENTITY, _encoder.encode(me)))
-        return me
+        identity = Member(instance_id, make_incarnation())
+        replace_file(
+            file, encode_record(RecordKind.IDENTITY, _encoder.encode(identity))
+        )
+        return identity
     records = list(read_records(read_file(file), str(file), may_be_torn=False))
     if [record.kind for record in records] != [RecordKind.IDENTITY]:
         raise StorageError(str(file), 0, "holds no identity")
-    me = decoded(_member_decoder, records[0], file)
-    if me.instance_id != instance_id:
-        detail = f"belongs to instance {me.instance_id}, not {instance_id}"
+    identity = decode_payload(_member_decoder, records[0], file)
+    if identity.instance_id != instance_id:
+        detail = f"belongs to instance {identity.instance_id}, not {instance_id}"
         raise StorageError(str(file), 0, detail)
-    return me
+    return identity
 
 
-def _load(folder: Path, lock: int, me: Member) -> tuple[FileStorage, StoredState]:
-    """Read snapshot and segments, and begin a segment to write to."""
-    image = load_snapshot(folder / _SNAPSHOT)
+def _load_storage(
+    folder: Path, lock: int, identity: Member
+) -> tuple[FileStorage, StoredState]:
+    """Read the snapshot and the segments, and start a segment to write to."""
+    image = load_snapshot(folder / _SNAPSHOT_FILE)
     replay = Replay(image)
     files = sorted(folder.glob(SEGMENT_GLOB))
     last_indexes = [replay_segment(file, files, replay) for file in files]
-    state = replay.state(me, files[-1] if files else folder)
+    state = replay.make_state(identity, files[-1] if files else folder)
     storage = FileStorage(folder, lock, state)
     if not files:
-        storage.begin_segment(1)
+        storage.start_segment(1)
         return storage, state
     for file, last_index in zip(files[:-1], last_indexes, strict=False):
-        storage.note_segment(file, last_index)
-    # The tail is written and synced anew under the same name. After a failed
-    # sync the system may show pages as clean that never reached the disk: what
-    # is read here could vanish later, after it was acknowledged again.
+        storage.record_segment(file, last_index)
+    # The tail is rewritten and synced under the same name. After a failed sync the
+    # operating system may mark pages as clean that never reached the disk: data that
+    # is read here could be lost later, after it was acknowledged again.
     tail = bytes(replay.tail)
     if replay.image is not None and not state.entries:
-        # Entries that the snapshot voids stay void for the next start too.
-        tail += _reset_bytes(replay.image)
-    storage.begin_segment(segment_sequence(files[-1]), tail)
+        # Entries that the snapshot replaces stay replaced at the next start too.
+        tail += _encode_reset(replay.image)
+    storage.start_segment(segment_sequence(files[-1]), tail)
     return storage, state
 
 
-def _snapshot_bytes(image: SnapshotImage) -> bytes:
+def _encode_snapshot(image: SnapshotImage) -> bytes:
     """Return the content of a snapshot's file."""
     return encode_record(RecordKind.SNAPSHOT, encode_image(image))
 
 
-def _reset_bytes(image: SnapshotImage) -> bytes:
-    """Return the record that voids the entries before it."""
-    reset = _encoder.encode(Reset(image.index, image.index_term))
+def _encode_reset(image: SnapshotImage) -> bytes:
+    """Return the record that invalidates the entries before it."""
+    reset = _encoder.encode(LogReset(image.index, image.index_term))
     return encode_record(RecordKind.RESET, reset)
