--- a/sesameford/fencing.py
+++ b/sesameford/fencing.py
@@ -1,22 +1,22 @@
-"""Leases for orders to engines, with fencing numbers, agreed in the log.
+"""Leases with fencing numbers for orders to engines, replicated in the log.
 
-The machine reads no clock and compares none. A holder counts its lease from when
-it *sent* what was accepted; a contender counts from when it *saw* the lease as it
-still stands, which is later, and takes over only that very state of it. So two
-clocks need only run at about the same rate. The holder's side is in ``leases``.
+The state machine reads no clock. A holder counts its lease from when it *sent* the
+accepted command. A contender counts from when it *observed* the lease's current
+state, which is later, and can take over only from that exact state. So the clocks of
+two hosts need only run at about the same rate. The holder's side is in ``leases``.
 """
 
 from msgspec import DecodeError, Struct, ValidationError
 from msgspec.msgpack import Decoder, Encoder
 
-MOST_LEASES = 10_000
-MOST_NAME_LENGTH = 256
+MAX_LEASES = 10_000
+MAX_NAME_LENGTH = 256
 # The group whose slots are the fleet-wide budget for loads from the weight store.
 WEIGHT_STORE_GROUP = "weight-store"
 
 
 class LeaseView(Struct, frozen=True, array_like=True):
-    """A lease as it stands: who holds it, its fencing number, how often renewed."""
+    """The state of a lease: its holder, fencing number and count of renewals."""
 
     name: str
     holder: str
@@ -25,24 +25,24 @@
 
 
 class Acquire(Struct, frozen=True, tag=1, array_like=True):
-    """Give me this lease if it is free or still in the state that I waited out."""
+    """Requests a lease that is free, or still in a state that the sender saw expire."""
 
     name: str
     holder: str
-    waited_out: LeaseView | None = None
+    expired_lease: LeaseView | None = None
 
 
 class AcquireSlot(Struct, frozen=True, tag=2, array_like=True):
-    """Give me any of a group's slots, or the one whose state I waited out."""
+    """Requests any free slot of a group, or the one that the sender saw expire."""
 
     group: str
     slots: int
     holder: str
-    waited_out: LeaseView | None = None
+    expired_lease: LeaseView | None = None
 
 
 class Renew(Struct, frozen=True, tag=3, array_like=True):
-    """I still hold this lease."""
+    """Renews a lease that the sender holds."""
 
     name: str
     holder: str
@@ -50,7 +50,7 @@
 
 
 class LeaseRelease(Struct, frozen=True, tag=4, array_like=True):
-    """I hold this lease no more and none of my orders is under way."""
+    """Releases a lease; none of the sender's orders is in flight."""
 
     name: str
     holder: str
@@ -58,30 +58,33 @@
 
 
 class Granted(Struct, frozen=True, tag=1, array_like=True):
-    """The lease is yours; ``taken_over`` says that another's had to be waited out."""
+    """The sender holds the lease.
+
+    ``taken_over`` tells that it was another holder's lease that expired.
+    """
 
     lease: LeaseView
     taken_over: bool
 
 
-class Held(Struct, frozen=True, tag=2, array_like=True):
-    """Others hold it; these are the leases to watch."""
+class HeldByOthers(Struct, frozen=True, tag=2, array_like=True):
+    """Other holders have all requested leases, listed here in their current state."""
 
     leases: tuple[LeaseView, ...]
 
 
-class Ended(Struct, frozen=True, tag=3, array_like=True):
-    """The lease is not, or no longer, yours."""
+class NotHeld(Struct, frozen=True, tag=3, array_like=True):
+    """The sender does not hold the lease, or no longer."""
 
 
 class Malformed(Struct, frozen=True, tag=4, array_like=True):
-    """The command makes no sense; nothing was changed."""
+    """The command is invalid; nothing was changed."""
 
     reason: str
 
 
 FencingCommand = Acquire | AcquireSlot | Renew | LeaseRelease
-FencingAnswer = Granted | Held | Ended | Malformed
+FencingAnswer = Granted | HeldByOthers | NotHeld | Malformed
 
 _encoder = Encoder()
 _command_decoder = Decoder(FencingCommand)
@@ -90,7 +93,7 @@
 
 
 class FencingMachine:
-    """The leases of the fleet; a ``StateMachine`` of the log."""
+    """The leases of the fleet; a ``StateMachine`` of the replicated log."""
 
     name = "fencing"
 
@@ -101,8 +104,8 @@
         """Apply a committed command.
 
         Args:
-            index: Its place in the log, which becomes the fencing number of what
-                it grants: it never repeats and never falls, whoever asks.
+            index: Its log index, which becomes the fencing number of the lease that
+                it grants: it never repeats and never falls, for any holder.
             command: An encoded ``FencingCommand``.
 
         Returns:
@@ -119,32 +122,34 @@
         return _encoder.encode(list(self._leases.values()))
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace all leases by those of a snapshot."""
+        """Replace all leases with those of a snapshot."""
         leases = _snapshot_decoder.decode(snapshot)
         self._leases = {lease.name: lease for lease in leases}
 
     def lease(self, name: str) -> LeaseView | None:
-        """Return a lease that is held, or None."""
+        """Return a held lease, or None."""
         return self._leases.get(name)
 
     def leases(self) -> tuple[LeaseView, ...]:
-        """Return all leases that are held."""
+        """Return all held leases."""
         return tuple(self._leases.values())
 
     def _decide(self, index: int, command: FencingCommand) -> FencingAnswer:
-        """Return the answer to a command and change the leases accordingly."""
+        """Apply a command to the leases and return the answer."""
         match command:
             case Acquire():
                 return self._acquire(
-                    index, (command.name,), command.holder, command.waited_out
+                    index, (command.name,), command.holder, command.expired_lease
                 )
             case AcquireSlot():
-                if not 0 < command.slots <= MOST_LEASES:
+                if not 0 < command.slots <= MAX_LEASES:
                     return Malformed("slots out of range")
                 names = tuple(
                     slot_name(command.group, slot) for slot in range(command.slots)
                 )
-                return self._acquire(index, names, command.holder, command.waited_out)
+                return self._acquire(
+                    index, names, command.holder, command.expired_lease
+                )
             case Renew():
                 return self._renew(command)
             case LeaseRelease():
@@ -155,45 +160,45 @@
         index: int,
         names: tuple[str, ...],
         holder: str,
-        waited_out: LeaseView | None,
+        expired_lease: LeaseView | None,
     ) -> FencingAnswer:
-        """Grant the first of some leases that is free or was waited out."""
-        if any(len(name) > MOST_NAME_LENGTH for name in (*names, holder)):
+        """Grant the first free lease, else the expired one if it is unchanged."""
+        if any(len(name) > MAX_NAME_LENGTH for name in (*names, holder)):
             return Malformed("a name is too long")
         for name in names:
             if name not in self._leases:
-                if len(self._leases) >= MOST_LEASES:
+                if len(self._leases) >= MAX_LEASES:
                     return Malformed("too many leases are held")
                 return self._grant(index, name, holder, taken_over=False)
         held = tuple(self._leases[name] for name in names)
-        if waited_out is not None and waited_out in held:
-            return self._grant(index, waited_out.name, holder, taken_over=True)
-        return Held(held)
+        if expired_lease is not None and expired_lease in held:
+            return self._grant(index, expired_lease.name, holder, taken_over=True)
+        return HeldByOthers(held)
 
     def _grant(
         self, index: int, name: str, holder: str, taken_over: bool
     ) -> FencingAnswer:
-        """Give a lease to a holder under a new number."""
+        """Grant a lease to a holder under a new fencing number."""
         lease = LeaseView(name, holder, number=index, renewals=0)
         self._leases[name] = lease
         return Granted(lease, taken_over)
 
     def _renew(self, command: Renew) -> FencingAnswer:
-        """Show contenders that the holder lives."""
-        present = self._leases.get(command.name)
-        if not _is_of(present, command) or present is None:
-            return Ended()
+        """Count a renewal, which shows contenders that the holder is alive."""
+        current = self._leases.get(command.name)
+        if not _is_holder(current, command) or current is None:
+            return NotHeld()
         renewed = LeaseView(
-            present.name, present.holder, present.number, present.renewals + 1
+            current.name, current.holder, current.number, current.renewals + 1
         )
         self._leases[command.name] = renewed
         return Granted(renewed, taken_over=False)
 
     def _release(self, command: LeaseRelease) -> FencingAnswer:
-        """Free a lease."""
-        if _is_of(self._leases.get(command.name), command):
+        """Release a lease if the sender holds it."""
+        if _is_holder(self._leases.get(command.name), command):
             del self._leases[command.name]
-        return Ended()
+        return NotHeld()
 
 
 def encode_command(command: FencingCommand) -> bytes:
@@ -202,22 +207,22 @@
 
 
 def decode_answer(answer: bytes) -> FencingAnswer:
-    """Return the machine's answer.
+    """Return the decoded answer of the fencing state machine.
 
     Args:
-        answer: What the log answered to a proposal of the fencing machine.
+        answer: The bytes that a proposal for the state machine returned.
     """
     return _answer_decoder.decode(answer)
 
 
 def slot_name(group: str, slot: int) -> str:
-    """Return the lease that stands for one slot of a group."""
+    """Return the name of the lease of one slot of a group."""
     return f"{group}/{slot}"
 
 
-def _is_of(present: LeaseView | None, command: Renew | LeaseRelease) -> bool:
+def _is_holder(current: LeaseView | None, command: Renew | LeaseRelease) -> bool:
     """Return whether the sender of a command holds the lease."""
-    return present is not None and (present.holder, present.number) == (
+    return current is not None and (current.holder, current.number) == (
         command.holder,
         command.number,
     )
--- a/sesameford/leases.py
+++ b/sesameford/leases.py
@@ -1,7 +1,7 @@
-"""A holder's side of a lease: when to ask, when to renew, when an order may go.
+"""The holder's side of a lease: acquisition, renewal and fencing numbers of orders.
 
-Pure: the owner proposes the commands to the log and hands back the answers. The
-fencing machine is in ``fencing``.
+Does no I/O: the owner proposes the commands to the log and records the answers. The
+replicated state machine is in ``fencing``.
 """
 
 from collections.abc import Callable
@@ -10,61 +10,62 @@
 from sesameford.fencing import (
     Acquire,
     AcquireSlot,
-    Ended,
     FencingAnswer,
     FencingCommand,
     Granted,
-    Held,
+    HeldByOthers,
     LeaseRelease,
     LeaseView,
     Malformed,
+    NotHeld,
     Renew,
 )
 
 LEASE_SECONDS = 10.0
 RENEW_FRACTION = 1 / 3
-# Clocks of two machines may differ in rate by this much.
+# The clocks of two hosts may differ in rate by this fraction.
 CLOCK_RATE_MARGIN = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class HeldLease:
-    """A lease that this holder has, on its own clock.
+    """A lease that this holder has; times are on its own clock.
 
-    ``waited_out_at_seconds`` is from when on no order of an earlier holder can
-    still be under way.
+    From ``earlier_orders_expired_at_seconds`` on, no order of an earlier holder can
+    still be in flight.
     """
 
     lease: LeaseView
     valid_until_seconds: float
-    waited_out_at_seconds: float
+    earlier_orders_expired_at_seconds: float
 
 
 @dataclass(frozen=True, slots=True)
-class _Watched:
-    """Another's lease, and since when it has stood like this."""
+class _ObservedLease:
+    """Another holder's lease, and since when its state is unchanged."""
 
     lease: LeaseView
-    since_seconds: float
+    unchanged_since_seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseCommand:
-    """A command to propose, and when it was decided."""
+    """A command to propose, and the time at which it was decided."""
 
     command: FencingCommand
     sent_at_seconds: float
 
 
 class LeaseManager:
-    """Gets and keeps one lease; made by the ``make_`` functions below.
+    """Acquires and renews one lease; made by the ``make_`` functions below.
 
     Args:
-        acquire: Makes the command that asks for the lease.
-        holder: This holder; another one after each start of the process.
-        order_deadline_seconds: After this an order has reached its engine or is
-            given up.
-        lease_seconds: How long a lease holds from its last renewal.
+        acquire: Makes the command that requests the lease, from a lease of another
+            holder that has expired, or None.
+        holder: The id of this holder; a new one after each start of the process.
+        order_deadline_seconds: After this an order has reached its engine or was
+            abandoned.
+        lease_seconds: The duration of a lease from its last renewal.
     """
 
     def __init__(
@@ -79,80 +80,86 @@
         self._order_deadline_seconds = order_deadline_seconds
         self._lease_seconds = lease_seconds
         self._held: HeldLease | None = None
-        self._watched: dict[str, _Watched] = {}
-        self._asked = False
-        self._ask_at_seconds = float("-inf")
-        self._mine: LeaseView | None = None
+        self._observed: dict[str, _ObservedLease] = {}
+        self._is_command_pending = False
+        self._next_command_at_seconds = float("-inf")
+        self._unconfirmed: LeaseView | None = None
 
     def decide(self, now_seconds: float) -> LeaseCommand | None:
-        """Return the command to propose now; its answer goes to ``record_answer``."""
-        if self._asked:
+        """Return the command to propose now; pass its answer to ``record_answer``."""
+        if self._is_command_pending:
             return None
-        waited_out = self._waited_out(now_seconds)
-        if now_seconds < self._ask_at_seconds and waited_out is None:
+        expired_lease = self._find_expired(now_seconds)
+        if now_seconds < self._next_command_at_seconds and expired_lease is None:
             return None
-        lease = self._held.lease if self._held else self._mine
+        lease = self._held.lease if self._held else self._unconfirmed
         if lease is not None:
             command: FencingCommand = Renew(lease.name, self._holder, lease.number)
         else:
-            command = self._acquire(waited_out)
-        self._asked = True
+            command = self._acquire(expired_lease)
+        self._is_command_pending = True
         return LeaseCommand(command, now_seconds)
 
     def record_answer(
-        self, asked: LeaseCommand, answer: FencingAnswer | None, now_seconds: float
+        self,
+        lease_command: LeaseCommand,
+        answer: FencingAnswer | None,
+        now_seconds: float,
     ) -> None:
-        """Take the answer to a command.
+        """Record the answer to a command.
 
         Args:
-            asked: What ``decide`` returned.
-            answer: None where no majority answered; what is asked next copes with
-                the command being accepted later.
-            now_seconds: The present time.
+            lease_command: The command that ``decide`` returned.
+            answer: The answer, or None without a quorum; the next command is correct
+                also if this one is accepted later.
+            now_seconds: The current time.
         """
-        self._asked = False
+        self._is_command_pending = False
         match answer:
             case Granted(lease, taken_over):
-                self._take(asked, lease, taken_over)
-            case Held(leases):
-                self._watch(leases, now_seconds)
-            case Ended():
-                self._held, self._mine = None, None
-                self._ask_at_seconds = now_seconds
+                self._record_grant(lease_command, lease, taken_over)
+            case HeldByOthers(leases):
+                self._record_others(leases, now_seconds)
+            case NotHeld():
+                self._held, self._unconfirmed = None, None
+                self._next_command_at_seconds = now_seconds
             case Malformed():
-                self._ask_at_seconds = now_seconds + self._lease_seconds
+                self._next_command_at_seconds = now_seconds + self._lease_seconds
 
     def lease(self, now_seconds: float) -> LeaseView | None:
-        """Return the lease while this holder has it."""
+        """Return the lease if this holder has it now, else None."""
         held = self._held
         if held is None or now_seconds >= held.valid_until_seconds:
             return None
         return held.lease
 
     def order_number(self, checks_fencing: bool, now_seconds: float) -> int | None:
-        """Return the fencing number for an order, or None while none may go.
+        """Return the fencing number for an order, or None if none may be sent yet.
 
-        An engine that ignores fencing numbers would carry out an order of the
-        earlier holder that arrives late, after one of ours. So the first order to
-        such an engine waits until no earlier one can be under way.
+        An engine that ignores fencing numbers would carry out a late order of the
+        earlier holder after one of this holder. So the first order to such an engine
+        waits until no earlier one can be in flight.
 
         Args:
             checks_fencing: Whether the engine refuses an old number.
-            now_seconds: The present time.
+            now_seconds: The current time.
         """
         lease = self.lease(now_seconds)
         if lease is None or self._held is None:
             return None
-        if not checks_fencing and now_seconds < self._held.waited_out_at_seconds:
+        if (
+            not checks_fencing
+            and now_seconds < self._held.earlier_orders_expired_at_seconds
+        ):
             return None
         return lease.number
 
     def release(self, now_seconds: float) -> LeaseCommand | None:
-        """Stop using the lease and return the command that frees it.
+        """Stop using the lease and return the command that releases it, if held.
 
-        Call it only when none of this holder's orders is under way.
+        Must be called only when none of this holder's orders is in flight.
         """
-        held, self._held, self._mine = self._held, None, None
+        held, self._held, self._unconfirmed = self._held, None, None
         if held is None:
             return None
         lease = held.lease
@@ -160,49 +167,53 @@
             LeaseRelease(lease.name, self._holder, lease.number), now_seconds
         )
 
-    def _take(self, asked: LeaseCommand, lease: LeaseView, taken_over: bool) -> None:
-        """Hold a lease, counted from when it was asked for."""
-        sent_at = asked.sent_at_seconds
-        waited_out_at = sent_at
+    def _record_grant(
+        self, lease_command: LeaseCommand, lease: LeaseView, taken_over: bool
+    ) -> None:
+        """Record a granted lease; it is valid from when its command was sent."""
+        sent_at = lease_command.sent_at_seconds
+        expired_at = sent_at
         if self._held is not None and self._held.lease.number == lease.number:
-            waited_out_at = self._held.waited_out_at_seconds
-        elif taken_over or self._mine is not None:
+            expired_at = self._held.earlier_orders_expired_at_seconds
+        elif taken_over or self._unconfirmed is not None:
             margin = self._order_deadline_seconds * CLOCK_RATE_MARGIN
-            waited_out_at = sent_at + self._order_deadline_seconds + margin
-        self._watched.clear()
-        self._mine = None
-        self._ask_at_seconds = sent_at + self._lease_seconds * RENEW_FRACTION
+            expired_at = sent_at + self._order_deadline_seconds + margin
+        self._observed.clear()
+        self._unconfirmed = None
+        self._next_command_at_seconds = sent_at + self._lease_seconds * RENEW_FRACTION
         self._held = HeldLease(
             lease,
             valid_until_seconds=sent_at + self._lease_seconds,
-            waited_out_at_seconds=waited_out_at,
+            earlier_orders_expired_at_seconds=expired_at,
         )
 
-    def _watch(self, leases: tuple[LeaseView, ...], now_seconds: float) -> None:
-        """Note since when others' leases have stood as they do.
+    def _record_others(self, leases: tuple[LeaseView, ...], now_seconds: float) -> None:
+        """Record since when the leases of other holders are unchanged.
 
-        Where an answer was lost, the lease may already be this holder's own. Its
-        number is then known again by a renewal.
+        After a lost answer the lease may already belong to this holder. A renewal
+        under its number then confirms it.
         """
-        self._ask_at_seconds = now_seconds + self._lease_seconds * RENEW_FRACTION
-        watched = {}
+        self._next_command_at_seconds = (
+            now_seconds + self._lease_seconds * RENEW_FRACTION
+        )
+        observed = {}
         for lease in leases:
             if lease.holder == self._holder:
-                self._mine = lease
-                self._ask_at_seconds = now_seconds
+                self._unconfirmed = lease
+                self._next_command_at_seconds = now_seconds
                 continue
-            known = self._watched.get(lease.name)
-            if known is None or known.lease != lease:
-                known = _Watched(lease, now_seconds)
-            watched[lease.name] = known
-        self._watched = watched
-
-    def _waited_out(self, now_seconds: float) -> LeaseView | None:
-        """Return a lease that must have run out on its holder's clock too."""
+            observation = self._observed.get(lease.name)
+            if observation is None or observation.lease != lease:
+                observation = _ObservedLease(lease, now_seconds)
+            observed[lease.name] = observation
+        self._observed = observed
+
+    def _find_expired(self, now_seconds: float) -> LeaseView | None:
+        """Return a lease that must have expired on its holder's clock too, or None."""
         wait = self._lease_seconds * (1 + CLOCK_RATE_MARGIN)
-        for watched in self._watched.values():
-            if now_seconds - watched.since_seconds >= wait:
-                return watched.lease
+        for observed in self._observed.values():
+            if now_seconds - observed.unchanged_since_seconds >= wait:
+                return observed.lease
         return None
 
 
@@ -212,18 +223,18 @@
     order_deadline_seconds: float,
     lease_seconds: float = LEASE_SECONDS,
 ) -> LeaseManager:
-    """Return the keeper of one named lease.
+    """Return the manager of one named lease.
 
     Args:
-        name: The lease.
-        holder: This holder; another one after each start of the process.
-        order_deadline_seconds: After this an order has reached its engine or is
-            given up.
-        lease_seconds: How long a lease holds from its last renewal; the same at
-            all holders.
+        name: The name of the lease.
+        holder: The id of this holder; a new one after each start of the process.
+        order_deadline_seconds: After this an order has reached its engine or was
+            abandoned.
+        lease_seconds: The duration of a lease from its last renewal; must be the
+            same at all holders.
     """
     return LeaseManager(
-        lambda waited_out: Acquire(name, holder, waited_out),
+        lambda expired_lease: Acquire(name, holder, expired_lease),
         holder,
         order_deadline_seconds,
         lease_seconds,
@@ -237,17 +248,18 @@
     order_deadline_seconds: float,
     lease_seconds: float = LEASE_SECONDS,
 ) -> LeaseManager:
-    """Return the keeper of any one slot of a group, such as the weight store's.
+    """Return the manager of a lease on any one slot of a group.
 
     Args:
         group: The group, such as ``WEIGHT_STORE_GROUP``.
-        slots: How many slots the settings in force give the group.
-        holder: This holder; another one after each start of the process.
-        order_deadline_seconds: After this an order is given up.
-        lease_seconds: How long a lease holds from its last renewal.
+        slots: Returns the group's number of slots in the settings in force.
+        holder: The id of this holder; a new one after each start of the process.
+        order_deadline_seconds: After this an order was abandoned.
+        lease_seconds: The duration of a lease from its last renewal; must be the
+            same at all holders.
     """
     return LeaseManager(
-        lambda waited_out: AcquireSlot(group, slots(), holder, waited_out),
+        lambda expired_lease: AcquireSlot(group, slots(), holder, expired_lease),
         holder,
         order_deadline_seconds,
         lease_seconds,
--- a/sesameford/order_service.py
+++ b/sesameford/order_service.py
@@ -242,11 +242,11 @@
             logger.warning("an order broke: %r", error)
             return False
 
-    def _keep(self, keeper: LeaseManager, now_seconds: float) -> None:
+    def _keep(self, lease_manager: LeaseManager, now_seconds: float) -> None:
         """Ask for a lease or renew it, where that is due."""
-        asked = keeper.decide(now_seconds)
-        if asked is not None:
-            self._start(self._ask(keeper, asked))
+        lease_command = lease_manager.decide(now_seconds)
+        if lease_command is not None:
+            self._start(self._ask(lease_manager, lease_command))
 
     def _let_go(self, now_seconds: float) -> None:
         """Give the leases back once none of the orders is under way."""
@@ -254,12 +254,14 @@
             self._release(self._keeper, now_seconds)
             self._release(self._loads, now_seconds)
 
-    def _release(self, keeper: LeaseManager, now_seconds: float) -> None:
-        released = keeper.release(now_seconds)
+    def _release(self, lease_manager: LeaseManager, now_seconds: float) -> None:
+        released = lease_manager.release(now_seconds)
         if released is not None:
-            self._start(self._ask(keeper, released))
+            self._start(self._ask(lease_manager, released))
 
-    async def _ask(self, keeper: LeaseManager, asked: LeaseCommand) -> None:
+    async def _ask(
+        self, lease_manager: LeaseManager, lease_command: LeaseCommand
+    ) -> None:
         """Propose a command of a lease and hand its answer back."""
         incarnation = self._deps.incarnation
         proposal = f"{self._deps.instance_id}/{incarnation}/lease/{next(self._numbers)}"
@@ -267,12 +269,12 @@
         try:
             answer = decode_answer(
                 await self._deps.propose(
-                    proposal, FENCING_MACHINE, encode_command(asked.command)
+                    proposal, FENCING_MACHINE, encode_command(lease_command.command)
                 )
             )
         except LogError as error:
             logger.info("no lease for orders: %s", error)
-        keeper.record_answer(asked, answer, self._deps.now())
+        lease_manager.record_answer(lease_command, answer, self._deps.now())
 
     def _start(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -1,4 +1,4 @@
-"""Leases: one holder, numbers that only rise, and waiting where nobody checks."""
+"""Leases: one holder at a time, rising fencing numbers, and the wait without them."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -7,12 +7,12 @@
     WEIGHT_STORE_GROUP,
     Acquire,
     AcquireSlot,
-    Ended,
     FencingMachine,
     Granted,
-    Held,
+    HeldByOthers,
     LeaseRelease,
     Malformed,
+    NotHeld,
     Renew,
     decode_answer,
     encode_command,
@@ -31,23 +31,25 @@
         self.index += 1
         return decode_answer(self.machine.apply(self.index, encode_command(command)))
 
-    def serve(self, keeper: LeaseManager, now: float) -> None:
-        asked = keeper.decide(now)
-        if asked is not None:
-            keeper.record_answer(asked, self.apply(asked.command), now)
+    def step(self, lease_manager: LeaseManager, now: float) -> None:
+        lease_command = lease_manager.decide(now)
+        if lease_command is not None:
+            lease_manager.record_answer(
+                lease_command, self.apply(lease_command.command), now
+            )
 
 
-def test_a_lease_is_taken_over_only_in_the_state_that_was_waited_out():
+def test_a_lease_is_taken_over_only_in_the_state_that_expired():
     log = Log()
     first = log.apply(Acquire("l", "a")).lease
-    assert log.apply(Acquire("l", "b")) == Held((first,))
+    assert log.apply(Acquire("l", "b")) == HeldByOthers((first,))
     assert isinstance(log.apply(Renew("l", "a", first.number)), Granted)
-    assert isinstance(log.apply(Acquire("l", "b", first)), Held)
+    assert isinstance(log.apply(Acquire("l", "b", first)), HeldByOthers)
     renewed = log.machine.lease("l")
     taken = log.apply(Acquire("l", "b", renewed))
     assert taken.taken_over
     assert taken.lease.number > first.number
-    assert log.apply(Renew("l", "a", first.number)) == Ended()
+    assert log.apply(Renew("l", "a", first.number)) == NotHeld()
     log.apply(LeaseRelease("l", "a", first.number))
     assert log.machine.lease("l") == taken.lease
 
@@ -68,40 +70,45 @@
 
 
 def test_a_new_holder_waits_before_engines_that_ignore_fencing():
-    """A holder is cut off just after it sent an order, and another takes its lease.
+    """A holder is disconnected just after it sent an order, and another takes over.
+
     An engine that ignores fencing numbers would carry out the late order after the
-    new holder's, so the new one waits out the order's deadline first."""
+    new holder's, so the new holder waits for the order's deadline first.
+    """
     log = Log()
     old = make_lease_manager("l", "old", 5.0, lease_seconds=10.0)
     new = make_lease_manager("l", "new", 5.0, lease_seconds=10.0)
-    log.serve(old, 0.0)
+    log.step(old, 0.0)
     assert old.order_number(False, 0.0) == 1
     taken_at = next(
         now / 10
         for now in range(1, 400)
-        if not log.serve(new, now / 10) and new.lease(now / 10)
+        if not log.step(new, now / 10) and new.lease(now / 10)
     )
     assert taken_at > 10.5
     assert old.lease(taken_at) is None
     assert new.order_number(True, taken_at) > 1
     assert new.order_number(False, taken_at + 5.0) is None
-    log.serve(new, taken_at + 4.0)
+    log.step(new, taken_at + 4.0)
     assert new.order_number(False, taken_at + 5.3) > 1
 
 
-def test_a_lost_answer_is_made_good_by_a_renewal():
-    """The log grants a lease and the answer is lost. The holder asks again, learns
-    that the lease is its own, and goes on under the same number."""
+def test_a_renewal_recovers_from_a_lost_answer():
+    """The log grants a lease and the answer is lost.
+
+    The holder requests the lease again, learns that it already holds it, and goes on
+    under the same number.
+    """
     log = Log()
-    keeper = make_lease_manager("l", "a", 5.0)
-    asked = keeper.decide(0.0)
-    log.apply(asked.command)
-    keeper.record_answer(asked, None, 5.0)
-    log.serve(keeper, 5.1)
-    assert keeper.lease(5.1) is None
-    log.serve(keeper, 5.2)
-    assert keeper.lease(5.2).number == 1
-    released = keeper.release(6.0)
+    lease_manager = make_lease_manager("l", "a", 5.0)
+    lease_command = lease_manager.decide(0.0)
+    log.apply(lease_command.command)
+    lease_manager.record_answer(lease_command, None, 5.0)
+    log.step(lease_manager, 5.1)
+    assert lease_manager.lease(5.1) is None
+    log.step(lease_manager, 5.2)
+    assert lease_manager.lease(5.2).number == 1
+    released = lease_manager.release(6.0)
     log.apply(released.command)
     assert log.machine.lease("l") is None
 
@@ -109,18 +116,25 @@
 @given(slots=st.integers(1, 4), moves=st.lists(st.integers(0, 6), max_size=60))
 @settings(derandomize=True, max_examples=60, deadline=None)
 def test_loads_stay_within_the_fleets_budget(slots, moves):
-    """A customer's release makes many instances load a model at once. The weight
-    store is rate-limited, so only as many may load as the fleet's budget says."""
+    """A customer's release makes many instances load a model at once.
+
+    The weight store is rate-limited, so the loads must not exceed the fleet's budget.
+    """
     log = Log()
-    keepers = [
+    lease_managers = [
         make_slot_lease_manager(WEIGHT_STORE_GROUP, lambda: slots, f"k{number}", 5.0)
         for number in range(7)
     ]
     now = 0.0
     for move in moves:
         now += 0.7
-        if keepers[move].lease(now) and move % 2:
-            log.apply(keepers[move].release(now).command)
+        if lease_managers[move].lease(now) and move % 2:
+            log.apply(lease_managers[move].release(now).command)
         else:
-            log.serve(keepers[move], now)
-        assert sum(keeper.lease(now) is not None for keeper in keepers) <= slots
+            log.step(lease_managers[move], now)
+        assert (
+            sum(
+                lease_manager.lease(now) is not None for lease_manager in lease_managers
+            )
+            <= slots
+        )
