--- a/sesameford/order_service.py
+++ b/sesameford/order_service.py
@@ -24,7 +24,7 @@
     make_slot_lease_manager,
 )
 from sesameford.messages import ModelUse, ModelUseQuery, Outgoing
-from sesameford.orders import ORDER_DEADLINE_SECONDS, Order, OrderBook, OrderKind
+from sesameford.orders import ORDER_DEADLINE_SECONDS, Order, OrderKind, OrderTable
 from sesameford.state_machine import Propose
 from sesameford.tables import InstanceRow, InstanceState, Target
 
@@ -36,21 +36,22 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderDeps:
-    """What sending orders needs.
+    """The dependencies of the order service.
 
     Args:
         instance_id: This instance.
-        incarnation: Of its process.
-        data_centre: Whose engines it may order.
-        propose: Brings a command to agreement.
-        session: The session for targets; None before the instance has started.
+        incarnation: The incarnation of its process.
+        data_centre: The data centre whose engines it may send orders to.
+        propose: Proposes a command to the log and returns its answer.
+        session: Returns the session for targets; None before the instance started.
         send: Sends a message to other instances.
-        live: The other instances that are heard.
-        targets: All targets as they announce themselves.
-        is_ready: Whether this instance may be the orderer.
-        running_of: How many requests of a model run from here on a target.
-        tree: The tree in force.
-        now: The present time in seconds.
+        live: Returns the other live instances.
+        targets: Returns all targets as they announce themselves.
+        is_ready: Returns whether this instance may be the orderer.
+        running_of: Returns how many requests of a model this instance runs on a
+            target.
+        tree: Returns the tree in force.
+        now: Returns the current time in seconds.
     """
 
     instance_id: str
@@ -68,47 +69,50 @@
 
 
 class OrderService:
-    """Gives the orders of one data centre while this instance is elected to.
+    """Sends the orders of one data centre while this instance is its orderer.
 
-    Two may take themselves for elected while views differ; the lease lets one of
-    them order at a time, and engines that check numbers refuse the other.
+    Two instances may both consider themselves the orderer while their views differ.
+    The lease lets only one of them send orders at a time, and engines that check
+    fencing numbers refuse the other.
     """
 
     def __init__(self, deps: OrderDeps) -> None:
         self._deps = deps
-        self._book = OrderBook()
+        self._table = OrderTable()
         holder = f"{deps.instance_id}/{deps.incarnation}"
-        self._keeper = make_lease_manager(
+        self._order_lease_manager = make_lease_manager(
             f"orders/{deps.data_centre}", holder, ORDER_DEADLINE_SECONDS
         )
-        self._loads = make_slot_lease_manager(
+        self._load_lease_manager = make_slot_lease_manager(
             WEIGHT_STORE_GROUP,
             lambda: deps.tree().fleet.weight_store_concurrent_loads,
             holder,
             ORDER_DEADLINE_SECONDS,
         )
-        self._loading = False
+        self._is_loading = False
         self._numbers = count(1)
         self._tasks: set[asyncio.Task[None]] = set()
 
     def tick(self) -> None:
-        """Look for orders that are needed, and give those that may be given."""
+        """Collect the needed orders, and start those that may be sent now."""
         now_seconds = self._deps.now()
         declared = self._deps.tree().targets
         if not declared or not self._is_elected():
-            self._let_go(now_seconds)
+            self._release_leases(now_seconds)
             return
-        due = self._book.due(declared, self._own_engines(declared), now_seconds)
-        if due or not self._book.is_idle():
-            self._keep(self._keeper, now_seconds)
+        due = self._table.collect_due(
+            declared, self._own_engines(declared), now_seconds
+        )
+        if due or not self._table.is_idle():
+            self._maintain_lease(self._order_lease_manager, now_seconds)
         for order in due:
-            self._consider(order, declared[order.target_id], now_seconds)
+            self._start_if_possible(order, declared[order.target_id], now_seconds)
 
     def handle_model_use_query(self, sender_id: str, message: ModelUseQuery) -> None:
-        """Tell an orderer how many requests of a model run from here.
+        """Report to an orderer how many requests of a model run from this instance.
 
-        Under an older tree new ones may still be sent there, so nothing is told
-        before the tree that takes the model away is in force here.
+        Under an older tree new requests may still be sent to the target, so nothing
+        is reported before the tree that removes the model is in force here.
         """
         revision = self._deps.tree().revision
         if revision >= message.revision:
@@ -119,16 +123,16 @@
     def handle_model_use(
         self, sender_id: str, incarnation: int, message: ModelUse
     ) -> None:
-        """Take another instance's answer, unless it is of an older tree.
+        """Record another instance's report, unless it is from an older tree.
 
-        A model that was taken away, brought back and taken away again has had zeros
-        told of it before. One that arrives late would let it be unloaded under
-        requests of the time between.
+        For a model that was removed, declared again and removed again, zeros were
+        reported before. A late one of these would let the model be unloaded under
+        requests that started in between.
         """
         if message.revision < self._deps.tree().revision:
             return
         process = (sender_id, incarnation)
-        self._book.use_told(
+        self._table.record_use(
             process,
             message.target_id,
             message.model,
@@ -136,7 +140,7 @@
         )
 
     async def close(self) -> None:
-        """Wait for the orders that are under way; they are not to be cut."""
+        """Wait for the orders in flight, which must not be cancelled."""
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def _is_elected(self) -> bool:
@@ -144,15 +148,15 @@
         if not self._deps.is_ready():
             return False
         others = [
-            one.instance_id
-            for one in self._deps.live().values()
-            if one.data_centre == self._deps.data_centre
-            and one.state is InstanceState.READY
+            row.instance_id
+            for row in self._deps.live().values()
+            if row.data_centre == self._deps.data_centre
+            and row.state is InstanceState.READY
         ]
         return all(self._deps.instance_id < other for other in others)
 
     def _own_engines(self, declared: Mapping[str, TargetSettings]) -> list[Target]:
-        """Return the live engines of this data centre that the tree speaks of."""
+        """Return the live engines of this data centre that the tree declares."""
         return [
             target
             for target in self._deps.targets().values()
@@ -160,10 +164,10 @@
             and target.target_id in declared
         ]
 
-    def _consider(
+    def _start_if_possible(
         self, order: Order, settings: TargetSettings, now_seconds: float
     ) -> None:
-        """Give an order if all that it needs is there."""
+        """Start an order if its target, leases and conditions allow it now."""
         target = self._deps.targets().get(order.target_id)
         if target is None:
             return
@@ -172,56 +176,58 @@
         ):
             return
         if order.kind is OrderKind.LOAD:
-            # One load at a time here, and under a slot of the fleet's budget: the
-            # weight store is slow for all when many engines load at once.
-            self._keep(self._loads, now_seconds)
-            if self._loading or self._loads.lease(now_seconds) is None:
+            # One load at a time here, and only with a slot of the fleet's budget: the
+            # weight store becomes slow for all when many engines load at once.
+            self._maintain_lease(self._load_lease_manager, now_seconds)
+            if self._is_loading or self._load_lease_manager.lease(now_seconds) is None:
                 return
-        number = self._keeper.order_number(target.checks_fencing, now_seconds)
+        number = self._order_lease_manager.order_number(
+            target.checks_fencing, now_seconds
+        )
         if number is None:
             return
-        order_id = self._book.began(order, number)
-        self._loading = self._loading or order.kind is OrderKind.LOAD
-        self._start(self._give(order, order_id, target, number))
+        order_id = self._table.record_start(order, number)
+        self._is_loading = self._is_loading or order.kind is OrderKind.LOAD
+        self._start_task(self._carry_out(order, order_id, target, number))
 
     def _is_unused(
         self, order: Order, settings: TargetSettings, now_seconds: float
     ) -> bool:
-        """Return whether a model may be taken away; ask around where it may not."""
+        """Return whether a model may be unloaded; if not, query the other instances."""
         own = (self._deps.instance_id, self._deps.incarnation)
         live = self._deps.live().values()
-        processes = [own, *((one.instance_id, one.incarnation) for one in live)]
+        processes = [own, *((row.instance_id, row.incarnation) for row in live)]
         running = self._deps.running_of(order.target_id, order.subject)
-        self._book.use_told(own, order.target_id, order.subject, running)
-        if self._book.may_unload(order, settings, processes, now_seconds):
+        self._table.record_use(own, order.target_id, order.subject, running)
+        if self._table.can_unload(order, settings, processes, now_seconds):
             return True
-        if self._book.must_ask(order, now_seconds):
+        if self._table.record_query_if_due(order, now_seconds):
             revision = self._deps.tree().revision
-            wanted = ModelUseQuery(order.target_id, order.subject, revision)
+            query = ModelUseQuery(order.target_id, order.subject, revision)
             for instance_id, _ in processes[1:]:
-                self._deps.send(Outgoing(instance_id, wanted))
+                self._deps.send(Outgoing(instance_id, query))
         return False
 
-    async def _give(
+    async def _carry_out(
         self, order: Order, order_id: str, target: Target, number: int
     ) -> None:
-        """Send one order and note how it ended."""
-        is_done = await self._post(order, order_id, target, number)
+        """Send one order and record its outcome."""
+        is_done = await self._post_order(order, order_id, target, number)
         now_seconds = self._deps.now()
-        self._book.ended(order, is_done, now_seconds)
+        self._table.record_end(order, is_done, now_seconds)
         if order.kind is OrderKind.LOAD:
-            self._loading = False
-            self._release(self._loads, now_seconds)
+            self._is_loading = False
+            self._release_lease(self._load_lease_manager, now_seconds)
         logger.info(
             "order %s",
             "done" if is_done else "failed",
             extra={"order": order_id, "fencing_number": number},
         )
 
-    async def _post(
+    async def _post_order(
         self, order: Order, order_id: str, target: Target, number: int
     ) -> bool:
-        """Return whether an engine says that it has carried an order out."""
+        """Send an order and return whether the engine reports it as done."""
         session = self._deps.session()
         if session is None:
             return False
@@ -236,33 +242,33 @@
         try:
             async with session.post(url, json=body, timeout=timeout) as answer:
                 if answer.headers.get(REFUSED_HEADER) == "fencing":
-                    logger.warning("an engine knows of a later orderer than this")
+                    logger.warning("engine refused an order with an old fencing number")
                 return answer.status == 200
         except (ClientError, TimeoutError, OSError) as error:
-            logger.warning("an order broke: %r", error)
+            logger.warning("sending an order failed: %r", error)
             return False
 
-    def _keep(self, lease_manager: LeaseManager, now_seconds: float) -> None:
-        """Ask for a lease or renew it, where that is due."""
+    def _maintain_lease(self, lease_manager: LeaseManager, now_seconds: float) -> None:
+        """Acquire or renew a lease if that is due."""
         lease_command = lease_manager.decide(now_seconds)
         if lease_command is not None:
-            self._start(self._ask(lease_manager, lease_command))
+            self._start_task(self._propose_lease_command(lease_manager, lease_command))
 
-    def _let_go(self, now_seconds: float) -> None:
-        """Give the leases back once none of the orders is under way."""
-        if self._book.is_idle():
-            self._release(self._keeper, now_seconds)
-            self._release(self._loads, now_seconds)
+    def _release_leases(self, now_seconds: float) -> None:
+        """Release the leases once none of the orders is in flight."""
+        if self._table.is_idle():
+            self._release_lease(self._order_lease_manager, now_seconds)
+            self._release_lease(self._load_lease_manager, now_seconds)
 
-    def _release(self, lease_manager: LeaseManager, now_seconds: float) -> None:
+    def _release_lease(self, lease_manager: LeaseManager, now_seconds: float) -> None:
         released = lease_manager.release(now_seconds)
         if released is not None:
-            self._start(self._ask(lease_manager, released))
+            self._start_task(self._propose_lease_command(lease_manager, released))
 
-    async def _ask(
+    async def _propose_lease_command(
         self, lease_manager: LeaseManager, lease_command: LeaseCommand
     ) -> None:
-        """Propose a command of a lease and hand its answer back."""
+        """Propose a lease command and record its answer."""
         incarnation = self._deps.incarnation
         proposal = f"{self._deps.instance_id}/{incarnation}/lease/{next(self._numbers)}"
         answer: FencingAnswer | None = None
@@ -273,15 +279,15 @@
                 )
             )
         except LogError as error:
-            logger.info("no lease for orders: %s", error)
+            logger.info("lease command for orders failed: %s", error)
         lease_manager.record_answer(lease_command, answer, self._deps.now())
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
 
 def make_order_service(deps: OrderDeps) -> OrderService:
-    """Return the service that gives a data centre's orders; see ``OrderService``."""
+    """Return the service that sends a data centre's orders; see ``OrderService``."""
     return OrderService(deps)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines: what is needed, when a model may go, under which number."""
+"""Orders to engines: which are needed, when a model is unloaded, ids and retries."""
 
 import asyncio
 from dataclasses import replace
@@ -14,7 +14,13 @@
 from sesameford.errors import NoQuorumError
 from sesameford.messages import ModelUse
 from sesameford.order_service import OrderDeps, make_order_service
-from sesameford.orders import RETRY_SECONDS, Order, OrderBook, OrderKind, needed_orders
+from sesameford.orders import (
+    RETRY_DELAY_SECONDS,
+    Order,
+    OrderKind,
+    OrderTable,
+    needed_orders,
+)
 from sesameford.tables import InstanceRow, InstanceState, Target, TargetKind
 from tests.test_instance import apply_tree, make_settings, running
 
@@ -25,7 +31,7 @@
 
 @settings(derandomize=True, max_examples=200)
 @given(_MODELS, _MODELS.filter(bool))
-def test_orders_end_where_the_tree_wants_the_engine(serves, models):
+def test_orders_bring_an_engine_to_its_declared_models(serves, models):
     engine = replace(ENGINE, serves=tuple(sorted(serves)))
     declared = TargetSettings("g", models=tuple(sorted(models)))
     for _ in range(10):
@@ -41,54 +47,57 @@
     assert set(engine.serves) == models
 
 
-def test_a_model_goes_only_after_its_last_running_request():
-    """The tree takes a model from an engine while answers of it are still written.
+def test_a_model_is_unloaded_only_after_its_last_running_request():
+    """The tree removes a model from an engine while it still writes answers.
 
-    Unloaded at once, those callers would hold half an answer.
+    If the model were unloaded at once, the callers would get truncated answers.
     """
-    book = OrderBook()
+    table = OrderTable()
     declared = {"g": TargetSettings("g", models=("m2",))}
     engine = replace(ENGINE, serves=("m1", "m2"))
-    assert book.due(declared, [engine], 0.0) == [UNLOAD]
+    assert table.collect_due(declared, [engine], 0.0) == [UNLOAD]
     processes = [("e1", 1), ("e2", 7)]
-    assert not book.may_unload(UNLOAD, declared["g"], processes, 1.0)
-    book.use_told(("e1", 1), "g", "m1", 0)
-    book.use_told(("e2", 7), "g", "m1", 2)
-    assert not book.may_unload(UNLOAD, declared["g"], processes, 1.0)
-    book.use_told(("e2", 7), "g", "m1", 0)
-    assert book.may_unload(UNLOAD, declared["g"], processes, 2.0)
+    assert not table.can_unload(UNLOAD, declared["g"], processes, 1.0)
+    table.record_use(("e1", 1), "g", "m1", 0)
+    table.record_use(("e2", 7), "g", "m1", 2)
+    assert not table.can_unload(UNLOAD, declared["g"], processes, 1.0)
+    table.record_use(("e2", 7), "g", "m1", 0)
+    assert table.can_unload(UNLOAD, declared["g"], processes, 2.0)
     restarted = [("e1", 1), ("e2", 8)]
-    assert not book.may_unload(UNLOAD, declared["g"], restarted, 2.0)
-    hasty = replace(declared["g"], unload_deadline_seconds=30.0)
-    assert not book.may_unload(UNLOAD, hasty, restarted, 29.0)
-    assert book.may_unload(UNLOAD, hasty, restarted, 30.0)
+    assert not table.can_unload(UNLOAD, declared["g"], restarted, 2.0)
+    with_deadline = replace(declared["g"], unload_deadline_seconds=30.0)
+    assert not table.can_unload(UNLOAD, with_deadline, restarted, 29.0)
+    assert table.can_unload(UNLOAD, with_deadline, restarted, 30.0)
 
 
-def test_an_order_that_failed_is_tried_again_under_its_id_and_a_new_need_is_not():
-    """An engine recognises an order by its id. With the old id a model that was taken
-    away and brought back would be answered as loaded before, and never be loaded."""
-    book = OrderBook()
+def test_a_failed_order_is_retried_under_its_id_and_a_new_need_gets_a_new_id():
+    """An engine recognises an order by its id.
+
+    Under the old id the load of a model that was removed and declared again would be
+    answered as done already, and the model would never be loaded.
+    """
+    table = OrderTable()
     declared = {"g": TargetSettings("g", models=("m1", "m2"))}
-    (order,) = book.due(declared, [ENGINE], 0.0)
-    first = book.began(order, 5)
-    assert book.due(declared, [ENGINE], 0.0) == []
-    book.ended(order, False, 1.0)
-    assert book.due(declared, [ENGINE], 1.0 + RETRY_SECONDS / 2) == []
-    assert book.due(declared, [ENGINE], 1.0 + RETRY_SECONDS) == [order]
-    assert book.began(order, 5) == first
-    book.ended(order, True, 7.0)
-    assert book.due(declared, [ENGINE], 8.0) == []
+    (order,) = table.collect_due(declared, [ENGINE], 0.0)
+    first_id = table.record_start(order, 5)
+    assert table.collect_due(declared, [ENGINE], 0.0) == []
+    table.record_end(order, False, 1.0)
+    assert table.collect_due(declared, [ENGINE], 1.0 + RETRY_DELAY_SECONDS / 2) == []
+    assert table.collect_due(declared, [ENGINE], 1.0 + RETRY_DELAY_SECONDS) == [order]
+    assert table.record_start(order, 5) == first_id
+    table.record_end(order, True, 7.0)
+    assert table.collect_due(declared, [ENGINE], 8.0) == []
     loaded = replace(ENGINE, serves=("m1", "m2"))
-    assert book.due(declared, [loaded], 9.0) == []
-    assert book.due(declared, [ENGINE], 10.0) == [order]
-    assert book.began(order, 5) != first
+    assert table.collect_due(declared, [loaded], 9.0) == []
+    assert table.collect_due(declared, [ENGINE], 10.0) == [order]
+    assert table.record_start(order, 5) != first_id
 
 
-async def test_a_zero_of_an_older_tree_does_not_let_a_model_go():
-    """A model is taken away, brought back and taken away again, and what an instance
-    told of the first time arrives after the second.
+async def test_a_report_from_an_older_tree_does_not_allow_an_unload():
+    """A model is removed, declared again and removed again, and an instance's report
+    for the first removal arrives after the second.
 
-    Believed, it would let the model go while answers of it are still written.
+    If it counted, the model would be unloaded while it still writes answers.
     """
     declared = {"g": TargetSettings("g", models=("m2",))}
     other = InstanceRow("e2", 7, "a", InstanceState.DRAINING, 3, 0.0)
@@ -115,23 +124,23 @@
     )
     service.tick()
     processes = [("e1", 1), ("e2", 7)]
-    book, settings_ = service._book, declared["g"]
+    table, settings_ = service._table, declared["g"]
     service.handle_model_use("e2", 7, ModelUse("g", "m1", 1, 0))
-    assert not book.may_unload(UNLOAD, settings_, processes, 10.0)
+    assert not table.can_unload(UNLOAD, settings_, processes, 10.0)
     service.handle_model_use("e2", 7, ModelUse("g", "m1", 3, 0))
-    assert book.may_unload(UNLOAD, settings_, processes, 10.0)
+    assert table.can_unload(UNLOAD, settings_, processes, 10.0)
     await service.close()
 
 
 class FakeEngine:
-    """An engine that carries out orders and refuses those with an old number."""
+    """An engine that carries out every order and streams one completion."""
 
     def __init__(self):
         self.serves = ["m1", "m2"]
         self.orders = []
-        self.hold = asyncio.Event()
+        self.finish_answer = asyncio.Event()
 
-    async def take_order(self, http):
+    async def handle_order(self, http):
         order = await http.json()
         self.orders.append(order)
         change = {"load": self.serves.append, "unload": self.serves.remove}
@@ -142,7 +151,7 @@
         answer = web.StreamResponse(headers={"Content-Type": "text/event-stream"})
         await answer.prepare(http)
         await answer.write(b'id: 0\ndata: {"choices":[{"text":"a"}]}\n\n')
-        await self.hold.wait()
+        await self.finish_answer.wait()
         usage = b'{"choices":[],"usage":{"prompt_tokens":1,"completion_tokens":1}}'
         await answer.write(b"id: 1\ndata: " + usage + b"\n\n")
         await answer.write(b"id: 2\ndata: [DONE]\n\n")
@@ -177,19 +186,19 @@
 
 
 async def test_the_tree_loads_and_unloads_models_of_a_real_instance(tmp_path):
-    """An operator swaps a model in the tree while a caller reads an answer of it."""
+    """An operator replaces a model in the tree while a caller reads its answer."""
     digest = sha256(b"platform").hexdigest()
     (settings_,) = make_settings(tmp_path, 1, 1)
     settings_ = replace_fields(settings_, platform_key_digest=digest)
     engine = FakeEngine()
     app = web.Application()
-    app.router.add_post("/orders", engine.take_order)
+    app.router.add_post("/orders", engine.handle_order)
     app.router.add_post("/v1/completions", engine.complete)
     server = TestServer(app)
     await server.start_server()
     async with running([settings_]), ClientSession() as session:
         announcing = asyncio.create_task(
-            _announce_often(engine, session, server, [settings_])
+            _announce_repeatedly(engine, session, server, [settings_])
         )
         await apply_tree(session, settings_, "c1", 0, tree_with("m1, m2"))
         url = f"http://{settings_.listen.callers}/v1/completions"
@@ -203,7 +212,7 @@
                 await _until(lambda: "m3" in engine.serves)
                 await asyncio.sleep(1.5)
                 assert "m1" in engine.serves, "an answer of it is still under way"
-                engine.hold.set()
+                engine.finish_answer.set()
                 assert (await answer.read()).endswith(b"data: [DONE]\n\n")
             await _until(lambda: "m1" not in engine.serves)
         announcing.cancel()
@@ -213,7 +222,7 @@
     assert all(one["fencing_number"] > 0 for one in engine.orders)
 
 
-async def _announce_often(engine, session, server, instances):
+async def _announce_repeatedly(engine, session, server, instances):
     sequence = 0
     while True:
         sequence += 1
