--- a/sesameford/evacuations.py
+++ b/sesameford/evacuations.py
@@ -33,13 +33,13 @@
     """An order names a data centre that the deployment doesn't have.
 
     Args:
-        data_centre: The name.
-        known: Those that there are.
+        data_centre: The name in the order.
+        data_centres: The data centres of the deployment.
     """
 
-    def __init__(self, data_centre: str, known: Collection[str]) -> None:
+    def __init__(self, data_centre: str, data_centres: Collection[str]) -> None:
         super().__init__(f"no data centre is named {data_centre!r}")
-        self.known = known
+        self.data_centres = data_centres
 
 
 @dataclass(frozen=True, slots=True)
--- a/sesameford/operators.py
+++ b/sesameford/operators.py
@@ -259,7 +259,7 @@
             body.change_id,
         )
     except UnknownDataCentreError as error:
-        names = ", ".join(sorted(error.known))
+        names = ", ".join(sorted(error.data_centres))
         detail = f"the data centres are {names}"
         raise Problem(404, "no-such-data-centre", detail) from error
     except LogError as error:
