--- a/sesameford/evacuations.py
+++ b/sesameford/evacuations.py
@@ -1,8 +1,8 @@
-"""Orders to evacuate a data centre, brought to agreement.
+"""Orders to evacuate or restore a data centre, proposed to the replicated log.
 
-The targets of an evacuated data centre get no new work, on any instance, until an
-operator restores it. The order is a change of the settings tree that needs no
-file: it is agreed on, spread and kept as all changes are.
+The targets of an evacuated data centre get no new work from any instance until an
+operator restores it. The order is a change of the settings tree that needs no file:
+it is committed, replicated and stored like every other change.
 """
 
 import logging
@@ -23,10 +23,10 @@
 
 logger = logging.getLogger(__name__)
 
-# A replica may not have applied yet what its operator saw accepted elsewhere a moment
-# ago, so an order that looks overtaken is tried again. Not for longer: its operator
-# turns to another replica after a second, and may have sent the opposite since.
-OVERTAKEN_AGAIN_SECONDS = 0.5
+# This replica may not have applied yet an order that its operator saw accepted
+# elsewhere, so a conflict is retried. Not for longer: the operator turns to another
+# replica after a second, and may have sent the opposite order since.
+CONFLICT_RETRY_SECONDS = 0.5
 
 
 class UnknownDataCentreError(SesamefordError):
@@ -44,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EvacuationDeps:
-    """What an order needs of the instance that takes it.
+    """What an order needs of the instance that receives it.
 
     Args:
-        data_centres: Returns the data centres that are known here.
-        propose: Brings a command to agreement.
-        revision: Returns the newest revision of the tree known here.
-        now: The present time.
-        wall_seconds: The time of day, for the history.
+        data_centres: Returns the data centres that this instance sees.
+        propose: Proposes a command to the log and returns its answer.
+        revision: Returns the newest revision of the tree on this instance.
+        now: Returns the current time in seconds.
+        wall_seconds: Returns the Unix time in seconds, for the history.
     """
 
     data_centres: Callable[[], Collection[str]]
@@ -68,26 +68,27 @@
     operator: str,
     order_id: str = "",
 ) -> ChangeAnswer:
-    """Bring an order to agreement.
+    """Propose an order and return its answer once it is committed.
 
     Args:
-        deps: What it needs of this instance.
-        data_centre: Which one is evacuated, or restored.
-        evacuated: Which of the two.
-        operator: Who wants it.
-        order_id: The same over resends, empty where the operator gives none.
+        deps: The dependencies on this instance.
+        data_centre: The data centre.
+        evacuated: True to evacuate it, False to restore it.
+        operator: The operator who gives the order.
+        order_id: The same for all resends; empty if the operator gives none.
 
     Returns:
-        The answer; the order, or the same one before it, is in force.
+        The answer. The order, or an equal one before it, is in force unless the
+        answer's status refuses it.
 
     Raises:
-        UnknownDataCentreError: There is none of this name.
-        NoQuorumError: It may be accepted later, or its opposite was accepted while it
-            waited here.
+        UnknownDataCentreError: No data centre has this name.
+        NoQuorumError: The order may be accepted later, or its opposite was accepted
+            while this one was pending.
     """
-    known = deps.data_centres()
-    if data_centre not in known:
-        raise UnknownDataCentreError(data_centre, known)
+    data_centres = deps.data_centres()
+    if data_centre not in data_centres:
+        raise UnknownDataCentreError(data_centre, data_centres)
     arrived_at_seconds = deps.now()
     base_revision = deps.revision()
     while True:
@@ -99,12 +100,12 @@
             operator,
             deps.wall_seconds(),
         )
-        name = f"evacuation/{token_hex(8)}"
-        encoded = await deps.propose(name, MACHINE_NAME, encode_command(order))
+        proposal_id = f"evacuation/{token_hex(8)}"
+        encoded = await deps.propose(proposal_id, MACHINE_NAME, encode_command(order))
         answer = decode_answer(encoded)
         if answer.status != CONFLICT:
             break
-        if deps.now() - arrived_at_seconds > OVERTAKEN_AGAIN_SECONDS:
+        if deps.now() - arrived_at_seconds > CONFLICT_RETRY_SECONDS:
             raise NoQuorumError("another order for this data centre came before it")
         base_revision = answer.revision
     logger.info(
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Data centres that are evacuated, and restored."""
+"""Evacuating and restoring data centres: orders, replication, placement."""
 
 from random import Random
 
@@ -56,14 +56,14 @@
     return EffectiveTree(1, services={"pool": ENGINE}, data_centres=rows)
 
 
-def make_three(seed=1):
+def make_placement_over_three(seed=1):
     """Return a placement over two engines in each of three data centres."""
     table = make_heartbeat_table()
-    for place in "abc":
+    for data_centre in "abc":
         for number in range(2):
-            name = f"{place}{number}"
+            name = f"{data_centre}{number}"
             ready = TargetState.READY
-            row = HeartbeatRow(name, 1, "pool", f"{name}:1", place, 32, ready)
+            row = HeartbeatRow(name, 1, "pool", f"{name}:1", data_centre, 32, ready)
             table.beat(row, 0.0)
     return make_placement(table, "a", 1000.0, Random(seed))
 
@@ -73,10 +73,11 @@
     return placement.choose("pool", prompt, ENGINE, 0.3, tried, now)
 
 
-def test_an_order_that_comes_again_is_acknowledged_and_one_overtaken_is_not():
-    """An order waits on its way while its opposite is accepted.
+def test_a_resent_order_is_acknowledged_but_a_superseded_one_is_not():
+    """An order is delayed in transit while its opposite is accepted.
 
-    In force it would undo the newer wish: targets without power would get requests.
+    If it came into force, it would undo the newer order: targets without power would
+    get requests.
     """
     machine = make_machine()
     first = order(True, 0)
@@ -89,7 +90,7 @@
     assert evacuated_in(machine) == {"a"}
 
 
-def test_an_order_with_an_id_is_recognised_for_good():
+def test_an_order_with_an_id_is_recognised_after_later_orders():
     machine = make_machine()
     apply(machine, order(True, 0, "one"))
     apply(machine, order(False, 1, "two"))
@@ -98,10 +99,10 @@
     assert apply(machine, order(True, 2, "two")).status == REFUSED
 
 
-def test_an_order_that_found_nothing_to_do_is_recognised_too():
-    """Somebody else had evacuated the data centre, and restored it since.
+def test_an_order_that_changed_nothing_is_recognised_too():
+    """Another operator has evacuated the data centre before, and restored it since.
 
-    A copy of the order that was held up on its way would evacuate it once more.
+    A delayed copy of the order must not evacuate it once more.
     """
     machine = make_machine()
     apply(machine, order(True, 0))
@@ -111,8 +112,8 @@
     assert not evacuated_in(machine)
 
 
-def test_an_evacuation_outlives_snapshots_and_declarations():
-    """A replica starts again from its snapshot; the operator declares routes anew."""
+def test_an_evacuation_survives_snapshots_and_declarations():
+    """A replica restarts from its snapshot; the operator declares the routes again."""
     machine = make_machine()
     apply(machine, order(True, 0))
     other = make_machine()
@@ -126,7 +127,7 @@
     assert apply(other, order(True, 1)).status == CONFLICT
 
 
-def test_a_tree_file_that_takes_a_data_centre_in_counts_as_an_order():
+def test_a_tree_file_that_restores_a_data_centre_counts_as_an_order():
     machine = make_machine()
     apply(machine, order(True, 0))
     change = make_tree_change(
@@ -149,8 +150,9 @@
     assert (newest.change_id, newest.paths) == ("evacuate", ("data_centres/a",))
 
 
-async def test_an_order_at_a_replica_that_is_behind_is_tried_again():
-    """The evacuation was accepted elsewhere a moment ago; now its end is ordered."""
+async def test_an_order_at_a_lagging_replica_is_retried():
+    """An evacuation was accepted elsewhere and is not applied here yet; now the data
+    centre is restored through this replica."""
     machine = make_machine()
     apply(machine, order(True, 0))
 
@@ -164,10 +166,10 @@
 
 
 class Orders(RuleBasedStateMachine):
-    """Orders by an operator who tries again, over replicas that end and start.
+    """Orders by an operator who resends them, over replicas that restart.
 
-    Copies of orders without an id wait on their way; one that was overtaken must not
-    come into force. The oracle has the newest order that was acknowledged.
+    Copies of orders without an id are delayed in transit; one that was superseded
+    must not come into force. The oracle stores the newest acknowledged order.
     """
 
     def __init__(self):
@@ -185,7 +187,7 @@
 
     @rule(place=st.sampled_from("ab"), evacuated=st.booleans())
     def lost_on_its_way(self, place, evacuated):
-        """A replica that has no quorum holds the order back for a while."""
+        """A replica without a quorum delays the order."""
         if self.wanted.get(place, False) == evacuated:
             held = order(evacuated, self.machine.store.revision, data_centre=place)
             self.waiting.append(held)
@@ -214,9 +216,9 @@
 TestOrders.settings = settings(max_examples=60, stateful_step_count=30, deadline=None)
 
 
-def test_an_evacuated_data_centre_gets_nothing():
-    """What would go there goes elsewhere, also a request that is sent once more."""
-    placement = make_three()
+def test_an_evacuated_data_centre_gets_no_requests():
+    """Requests go to other data centres, also those that are retried."""
+    placement = make_placement_over_three()
     placement.configure(tree_with("b"), 0.5)
     for subject in range(60):
         assert choose(placement, subject).target_id[0] != "b"
@@ -224,8 +226,8 @@
     assert choose(placement, tried=tried).target_id == "c1"
 
 
-def test_a_shared_part_of_an_evacuated_home_has_one_new_home_at_all_routers():
-    one, other = make_three(1), make_three(2)
+def test_all_routers_choose_the_same_new_home_for_a_shared_prompt_part():
+    one, other = make_placement_over_three(1), make_placement_over_three(2)
     for placement in (one, other):
         placement.configure(tree_with("a"), 0.5)
     for subject in range(20):
@@ -235,14 +237,14 @@
 
 
 def test_nothing_is_copied_out_of_an_evacuated_engine():
-    placement = make_three()
+    placement = make_placement_over_three()
     home = choose(placement)
     placement.configure(tree_with(home.target_id[0]), 1.5)
     assert choose(placement, now=2.0).copy_from is None
 
 
-def test_with_everything_evacuated_callers_are_refused_with_the_reason():
-    placement = make_three()
+def test_with_all_data_centres_evacuated_the_refusal_names_the_reason():
+    placement = make_placement_over_three()
     placement.configure(tree_with("a", "b", "c"), 0.5)
     assert choose(placement) is None
     assert (
@@ -250,10 +252,10 @@
     )
 
 
-def test_what_is_let_in_falls_with_the_engines_that_are_evacuated():
-    """A third of the engines is emptied under full load.
+def test_admission_falls_with_the_share_of_evacuated_engines():
+    """A third of the engines is evacuated under full load.
 
-    Let in by what all of them handled until now, prompts would wait for seconds.
+    If prompts were admitted by the former capacity, they would wait for seconds.
     """
     table = make_share_table()
     asked = (CustomerRates("club", 900_000, 300_000),)
@@ -265,8 +267,8 @@
     assert table.capacity_tokens < 0.7 * before
 
 
-async def test_orders_of_the_platform_s_operator(tmp_path):
-    """An order at any replica is acknowledged, and again; an unknown name is not."""
+async def test_evacuation_orders_over_the_operators_http_interface(tmp_path):
+    """Each replica acknowledges an order and its resend; an unknown name gets 404."""
     async with open_fleet(tmp_path, 81) as fleet:
 
         async def declared():
