--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -175,7 +175,7 @@
     def __init__(self):
         super().__init__()
         self.machine = make_machine()
-        self.wanted = {}
+        self.expected = {}
         self.waiting = []
 
     @rule(place=st.sampled_from("ab"), evacuated=st.booleans())
@@ -183,12 +183,12 @@
         sent = order(evacuated, self.machine.store.revision, data_centre=place)
         self.waiting.append(sent)
         assert apply(self.machine, sent).status in (ACCEPTED, UNCHANGED)
-        self.wanted[place] = evacuated
+        self.expected[place] = evacuated
 
     @rule(place=st.sampled_from("ab"), evacuated=st.booleans())
     def lost_on_its_way(self, place, evacuated):
         """A replica without a quorum delays the order."""
-        if self.wanted.get(place, False) == evacuated:
+        if self.expected.get(place, False) == evacuated:
             held = order(evacuated, self.machine.store.revision, data_centre=place)
             self.waiting.append(held)
 
@@ -197,8 +197,8 @@
         if self.waiting:
             late = self.waiting[number % len(self.waiting)]
             answer = apply(self.machine, late)
-            is_wanted = self.wanted.get(late.data_centre, False) == late.evacuated
-            assert (answer.status != CONFLICT) == is_wanted
+            is_expected = self.expected.get(late.data_centre, False) == late.evacuated
+            assert (answer.status != CONFLICT) == is_expected
 
     @rule()
     def starts_again(self):
@@ -208,8 +208,8 @@
 
     @invariant()
     def the_newest_order_is_in_force(self):
-        wanted = {place for place, evacuated in self.wanted.items() if evacuated}
-        assert evacuated_in(self.machine) == wanted
+        expected = {place for place, evacuated in self.expected.items() if evacuated}
+        assert evacuated_in(self.machine) == expected
 
 
 TestOrders = Orders.TestCase
@@ -258,8 +258,8 @@
     If prompts were admitted by the former capacity, they would wait for seconds.
     """
     table = make_share_table()
-    asked = (CustomerRates("club", 900_000, 300_000),)
-    load = PartialLoad(3, (), asked, 0.05, 300_000.0)
+    requested = (CustomerRates("club", 900_000, 300_000),)
+    load = PartialLoad(3, (), requested, 0.05, 300_000.0)
     for step in range(100):
         table.tick([load], 100_000.0, 0.05, step * 0.02)
     before = table.capacity_tokens
