--- a/sesameford/messages.py
+++ b/sesameford/messages.py
@@ -1,8 +1,8 @@
 """Typed messages between instances.
 
-Every link may lose, double and reorder, so a message carries totals and never
-increments, and each envelope the sender's incarnation and a sequence number.
-A subsystem's messages stand together under its heading here.
+Every link may lose, duplicate and reorder messages. So a message carries totals and
+never increments, and each envelope carries the sender's incarnation and a sequence
+number. The messages of a subsystem are grouped under its heading.
 """
 
 from msgspec import Struct
@@ -20,7 +20,7 @@
 
 
 class ReplicaRow(Struct, frozen=True, array_like=True):
-    """Where an instance with a disk is reached by links."""
+    """The address for links to an instance with a disk."""
 
     instance_id: str
     data_centre: str
@@ -28,9 +28,10 @@
 
 
 class Hello(Struct, frozen=True, array_like=True, tag="Greeting"):
-    """Who I am, where links reach me, and the instances with disks that I know.
+    """Introduces the sender: its address for links, and the replicas it knows.
 
-    ``founds`` says that this deployment starts for the first time.
+    ``founds`` is set when the deployment starts for the first time. ``replicas`` are
+    instances with disks.
     """
 
     address: str
@@ -41,7 +42,10 @@
 
 
 class StaleIncarnation(Struct, frozen=True, array_like=True, tag="IncarnationBehind"):
-    """An earlier process of yours had a higher number; count from above it."""
+    """Reports that an earlier process of the receiver had a higher incarnation.
+
+    The receiver must continue above ``highest_incarnation``.
+    """
 
     highest_incarnation: int
 
@@ -50,12 +54,12 @@
 
 
 class HeartbeatRow(Struct, frozen=True, array_like=True):
-    """What a target last said of itself.
+    """The latest state that a target reported of itself.
 
     ``sequence`` grows with a target's heartbeats; ``state`` is ready, draining or gone,
-    and gone is for good. A target that starts again has a new id, or the one it had and
-    a higher ``incarnation``, with which all of this begins anew. It stays cold for
-    ``cold_milliseconds`` from when it said so.
+    and gone is final. A restarted target has a new id, or its old id and a higher
+    ``incarnation``, which resets sequence and state. The target stays cold for
+    ``cold_milliseconds`` from the heartbeat that reported it.
     """
 
     target_id: str
@@ -70,9 +74,9 @@
 
 
 class HeartbeatRows(Struct, frozen=True, array_like=True, tag="BeatRows"):
-    """Targets that are new or have changed, or all of them where asked.
+    """Rows of targets that are new or have changed, or all rows on request.
 
-    A replica answers one with a ``token`` by it.
+    A replica acknowledges a message with a ``token`` by sending the token back.
     """
 
     rows: tuple[HeartbeatRow, ...]
@@ -80,30 +84,30 @@
 
 
 class HeartbeatRowsAck(Struct, frozen=True, array_like=True, tag="BeatRowsTaken"):
-    """I have the rows that came with this token."""
+    """Acknowledges the rows that were sent with a token."""
 
     token: int
 
 
 class RecentHeartbeats(Struct, frozen=True, array_like=True, tag="BeatsHeard"):
-    """Short names of the targets that beat here of late, and a digest of all rows."""
+    """Short names of the targets with recent heartbeats, and a digest of all rows."""
 
     names: tuple[int, ...]
     digest: int
 
 
 class HeartbeatRowsRequest(Struct, frozen=True, array_like=True, tag="BeatRowsWanted"):
-    """Your digest differs from mine; send me all rows."""
+    """Requests all rows, because the digests of the two instances differ."""
 
 
 # --- membership ----------------------------------------------------------------
 
 
 class Heartbeat(Struct, frozen=True, array_like=True, tag=True):
-    """I live; this is my state and the tree revision I am under.
+    """Reports that the sender is alive, its state and the tree revision it applies.
 
-    ``change_number`` grows whenever something else here changes. A hub adds the
-    digest of its table of members, and the data centres that it hears.
+    ``change_number`` grows whenever another field changes. A hub adds the digest of
+    its table of members, and the data centres it receives heartbeats from.
     """
 
     data_centre: str
@@ -116,10 +120,10 @@
 
 
 class MemberRow(Struct, frozen=True, array_like=True):
-    """What is known of an instance, told on by the hubs.
+    """The state of an instance, as hubs propagate it.
 
     ``flips`` counts how often the hubs of its data centre have lost it since its
-    last change; the triple of incarnation and the two counts only grows.
+    last change. The triple of incarnation, change number and flips only grows.
     """
 
     instance_id: str
@@ -134,18 +138,18 @@
 
 
 class MembersUpdate(Struct, frozen=True, array_like=True, tag="MembersNews"):
-    """Rows that changed, or the whole table where it was asked for."""
+    """Rows that changed, or the whole table on request."""
 
     rows: tuple[MemberRow, ...]
     is_whole: bool = False
 
 
 class MembersRequest(Struct, frozen=True, array_like=True, tag="MembersWanted"):
-    """My table differs from yours for a while now; send me all of it."""
+    """Requests the whole table, because the digests have differed for a while."""
 
 
 class RelayedMessage(Struct, frozen=True, array_like=True, tag="Routed"):
-    """A message to an instance that the sender has no link to, by way of hubs."""
+    """A message that hubs relay to an instance to which the sender has no link."""
 
     origin_id: str
     origin_incarnation: int
@@ -155,7 +159,7 @@
 
 
 class BroadcastMessage(Struct, frozen=True, array_like=True, tag="Flooded"):
-    """A message to all instances, by way of hubs."""
+    """A message that hubs relay to all instances."""
 
     origin_id: str
     origin_incarnation: int
@@ -163,11 +167,11 @@
 
 
 class TargetAnnouncement(Struct, frozen=True, array_like=True, tag="TargetNews"):
-    """What a target announced; also how an announcement reaches its keeper.
+    """What a target announced; also forwards an announcement to its lease holder.
 
     ``announcement_sequence`` grows with every announcement of an incarnation, so
-    that news from the past is recognised. ``lease_remaining_seconds`` counts from
-    when the message was sent.
+    that an outdated one is recognised. ``lease_remaining_seconds`` counts from when
+    the message was sent.
     """
 
     target_id: str
@@ -184,7 +188,7 @@
 
 
 class TargetRenewal(Struct, frozen=True, array_like=True, tag="TargetRenewed"):
-    """A target has announced the same again; for its keeper alone."""
+    """Forwards an unchanged announcement of a target to its lease holder alone."""
 
     target_id: str
     incarnation: int
@@ -193,11 +197,11 @@
 
 
 class TargetRow(Struct, frozen=True, array_like=True, tag=True):
-    """A target has changed: it is new, another, or gone.
+    """Reports that a target is new, has changed or is gone.
 
-    The keeper is the instance that holds the target's lease and vouches for it.
-    ``version`` grows with every change, over all keepers and their restarts.
-    ``is_lapsed`` says that the lease has run out, which another announcement mends.
+    The lease holder is the instance that holds the target's lease and attests it.
+    ``version`` grows with every change, across all lease holders and their restarts.
+    ``is_lapsed`` says that the lease has expired; a further announcement renews it.
     """
 
     lease_holder_id: str
@@ -207,18 +211,18 @@
 
 
 class TargetRows(Struct, frozen=True, array_like=True, tag=True):
-    """All targets of a keeper; others that the receiver has of it are dropped."""
+    """All targets of a lease holder; the receiver drops others that it has of it."""
 
     lease_holder_id: str
     rows: tuple[TargetRow, ...]
 
 
 class LeaseAttestation(Struct, frozen=True, array_like=True):
-    """A keeper's word that all targets it keeps have live leases.
+    """A lease holder's attestation that all its targets have live leases.
 
-    ``digest`` is over the targets; where the receiver's differs it asks for them.
-    ``age_milliseconds`` is how long ago the keeper gave its word; a whole number
-    takes a third of the bytes of a float, in the most frequent message at rest.
+    ``digest`` covers the targets; a receiver whose digest differs requests the rows.
+    ``age_milliseconds`` is the time since the lease holder made the attestation; an
+    integer takes a third of the bytes of a float, in the most frequent message at rest.
     """
 
     lease_holder_id: str
@@ -227,13 +231,13 @@
 
 
 class LeaseAttestations(Struct, frozen=True, array_like=True, tag="TargetsVouched"):
-    """Words of keepers, passed on together."""
+    """Attestations of several lease holders, forwarded together."""
 
     attestations: tuple[LeaseAttestation, ...]
 
 
 class TargetRowsRequest(Struct, frozen=True, array_like=True, tag="TargetsWanted"):
-    """Send me the rows of all targets of a keeper."""
+    """Requests the rows of all targets of a lease holder."""
 
     lease_holder_id: str
 
@@ -242,7 +246,7 @@
 
 
 class TreeStepRow(Struct, frozen=True, array_like=True):
-    """The change that made ``revision`` out of the one before it.
+    """The change from the previous revision to ``revision``.
 
     ``put`` holds nodes in their canonical coding by path; ``digest`` is that of
     the whole tree after the change.
@@ -255,13 +259,13 @@
 
 
 class TreeSteps(Struct, frozen=True, array_like=True, tag=True):
-    """Changes that follow one another without a gap."""
+    """Consecutive changes without a gap."""
 
     steps: tuple[TreeStepRow, ...]
 
 
 class TreeSnapshot(Struct, frozen=True, array_like=True, tag="TreeWhole"):
-    """The whole tree at a revision, for one who is too far behind for steps."""
+    """The whole tree at a revision, for an instance too far behind for steps."""
 
     revision: int
     nodes: dict[str, bytes]
@@ -269,7 +273,7 @@
 
 
 class TreeRequest(Struct, frozen=True, array_like=True, tag="TreeWanted"):
-    """Send me what came after this revision; ``whole`` wants no steps."""
+    """Requests the changes after a revision; ``whole`` requests a snapshot instead."""
 
     revision: int
     whole: bool = False
@@ -279,13 +283,13 @@
 
 
 class LogPayload(Struct, frozen=True, array_like=True, tag=True):
-    """A message of the replicated log; its own types stand in its module."""
+    """A message of the replicated log; the log's module defines the types within."""
 
     payload: bytes
 
 
 class ProposalRequest(Struct, frozen=True, array_like=True, tag=True):
-    """Please bring this command to agreement; the id stays over resends."""
+    """Proposes a command to the replicated log; resends carry the same id."""
 
     proposal_id: str
     machine: str
@@ -293,7 +297,7 @@
 
 
 class ProposalReply(Struct, frozen=True, array_like=True, tag=True):
-    """What became of a proposal: ``status`` is accepted, refused or no-quorum."""
+    """The result of a proposal: ``status`` is accepted, refused or no-quorum."""
 
     proposal_id: str
     status: str
@@ -304,9 +308,10 @@
 
 
 class SuspectUpdate(Struct, frozen=True, array_like=True, tag="SuspectNews"):
-    """How often a body's digest was in flight alone or together at a death.
+    """The deaths of targets during which a request body was in flight.
 
-    ``deaths`` is the set of target incarnations that died; sets merge by union.
+    A body counts whether it was in flight alone or with others. ``deaths`` is the set
+    of target incarnations that died; sets merge by union.
     """
 
     body_digest: bytes
@@ -315,9 +320,9 @@
 
 
 class StoredAnswerQuery(Struct, frozen=True, array_like=True, tag="KeptAnswerWanted"):
-    """What became of the run under this claim of yours?
+    """Asks the owner of a claim for the state of the run under it.
 
-    ``incarnation`` and ``request_id`` are the owner's, as the log has them.
+    ``incarnation`` and ``request_id`` are the owner's, as recorded in the log.
     """
 
     query_id: str
@@ -327,7 +332,7 @@
 
 
 class StoredAnswer(Struct, frozen=True, array_like=True, tag="KeptAnswer"):
-    """The owner's word on a run; ``status`` 0 where no answer is kept here."""
+    """The owner's reply about a run; ``status`` is 0 where it stores no answer."""
 
     query_id: str
     run_state: str
@@ -340,7 +345,7 @@
 
 
 class ModelUseQuery(Struct, frozen=True, array_like=True, tag="ModelUseWanted"):
-    """How many requests of a model still run from you on a target?"""
+    """Asks how many requests for a model the receiver still runs on a target."""
 
     target_id: str
     model: str
@@ -348,7 +353,7 @@
 
 
 class ModelUse(Struct, frozen=True, array_like=True, tag=True):
-    """The answer, at a revision that is no older than the one that was asked for."""
+    """The number of running requests, at the requested revision or a later one."""
 
     target_id: str
     model: str
@@ -395,11 +400,11 @@
 
 
 class Envelope(Struct, frozen=True, array_like=True):
-    """What one instance sends another in one datagram of the link.
+    """The messages that one instance sends another in one datagram of the link.
 
     ``acknowledged`` is the incarnation and sequence of the newest envelope that the
-    sender has from the receiver, so that either side notices when what it sends no
-    longer arrives although it still hears the other.
+    sender has received from the receiver. So either side detects that its own
+    envelopes no longer arrive although it still receives those of the other.
     """
 
     sender_id: str
@@ -410,9 +415,9 @@
 
 
 class Outgoing(Struct, frozen=True):
-    """A decision to send; ``receiver_id`` None means every known instance.
+    """A message to send; ``receiver_id`` None means every known instance.
 
-    An ``urgent`` message leaves at once, the others with the next batch.
+    An ``urgent`` message is sent at once, the others with the next batch.
     """
 
     receiver_id: str | None
