--- a/sesameford/inbox.py
+++ b/sesameford/inbox.py
@@ -102,16 +102,16 @@
     """Take news of targets; return whether the table of targets may have changed."""
     match message:
         case TargetAnnouncement():
-            targets.announced(message, now_seconds)
+            targets.handle_announcement(message, now_seconds)
         case TargetRenewal():
-            targets.renewed(sender_id, message, now_seconds)
+            targets.handle_renewal(sender_id, message, now_seconds)
         case TargetRow():
-            return targets.row_heard(sender_id, message, now_seconds)
+            return targets.handle_row(sender_id, message, now_seconds)
         case TargetRows():
-            targets.rows_heard(sender_id, message, now_seconds)
+            targets.handle_rows(sender_id, message, now_seconds)
             return True
         case LeaseAttestations():
-            targets.vouched(sender_id, message, now_seconds)
+            targets.handle_attestations(sender_id, message, now_seconds)
         case TargetRowsRequest():
-            targets.wanted(sender_id, message, now_seconds)
+            targets.handle_rows_request(sender_id, message, now_seconds)
     return False
--- a/sesameford/instance.py
+++ b/sesameford/instance.py
@@ -352,10 +352,10 @@
         now_seconds = self._now()
         beat = self.members.heartbeat(self._state(), self.tree.revision, now_seconds)
         self.peers.send(Outgoing(None, beat))
-        self.targets.beat()
+        self.targets.schedule_attestation()
         self._send_target_messages()
         self.overlay.tick(now_seconds)
-        self.targets.observe_hub(self.overlay.live_hub(now_seconds))
+        self.targets.set_hub(self.overlay.live_hub(now_seconds))
         self._orders.tick()
         metrics = self.metrics
         metrics.control_bytes.set({"direction": "sent"}, self.peers.sent_bytes)
@@ -374,7 +374,7 @@
             self._inbox(sender_id, incarnation, message)
 
     def _send_target_messages(self) -> None:
-        for outgoing in self.targets.outgoing(self._now()):
+        for outgoing in self.targets.collect_outgoing(self._now()):
             self._send(outgoing)
 
     def _operators_deps(self) -> OperatorsDeps:
@@ -398,13 +398,13 @@
         return self._machine.history(before_revision)
 
     def _announce(self, news: TargetAnnouncement) -> bool:
-        taken = self.targets.announced(news, self._now())
+        taken = self.targets.handle_announcement(news, self._now())
         self._send_target_messages()
         self.router.tick()
         return taken
 
     def _leave(self, target_id: str, incarnation: int, sequence: int) -> bool:
-        left = self.targets.left(target_id, incarnation, sequence, self._now())
+        left = self.targets.handle_leave(target_id, incarnation, sequence, self._now())
         self._send_target_messages()
         self.router.tick()
         return left
--- a/sesameford/target_replication.py
+++ b/sesameford/target_replication.py
@@ -79,7 +79,7 @@
         self._next_vouch_seconds = 0.0
         self._hub_id: str | None = None
 
-    def beat(self) -> None:
+    def schedule_attestation(self) -> None:
         """Let the next word of this keeper go out now, beside the heartbeat.
 
         Each on its own time they would go out in two envelopes to every peer, and
@@ -87,11 +87,11 @@
         """
         self._next_vouch_seconds = -inf
 
-    def observe_hub(self, hub_id: str | None) -> None:
+    def set_hub(self, hub_id: str | None) -> None:
         """Take the hub that the keeping is left to, None where there is none."""
         self._hub_id = hub_id
 
-    def announced(self, news: TargetAnnouncement, now_seconds: float) -> bool:
+    def handle_announcement(self, news: TargetAnnouncement, now_seconds: float) -> bool:
         """Take an announcement that a target made here or another passed on.
 
         Returns:
@@ -115,7 +115,7 @@
         self._pass_to_lease_holder(lease_holder_id, known, news)
         return True
 
-    def left(
+    def handle_leave(
         self, target_id: str, incarnation: int, sequence: int, now_seconds: float
     ) -> bool:
         """Take a target's word, given here, that it leaves.
@@ -138,7 +138,7 @@
         self._keep(known, news, now_seconds)
         return True
 
-    def renewed(
+    def handle_renewal(
         self, sender_id: str, message: TargetRenewal, now_seconds: float
     ) -> None:
         """Take, as the keeper, an announcement that was made elsewhere."""
@@ -154,9 +154,9 @@
             announcement_sequence=message.announcement_sequence,
             lease_remaining_seconds=message.lease_remaining_seconds,
         )
-        self.announced(news, now_seconds)
+        self.handle_announcement(news, now_seconds)
 
-    def row_heard(self, sender_id: str, row: TargetRow, now_seconds: float) -> bool:
+    def handle_row(self, sender_id: str, row: TargetRow, now_seconds: float) -> bool:
         """Take a changed target from another instance.
 
         Returns:
@@ -192,7 +192,7 @@
             self._send_row(self._registry.get(target.target_id), now_seconds)
         return True
 
-    def vouched(
+    def handle_attestations(
         self, sender_id: str, message: LeaseAttestations, now_seconds: float
     ) -> None:
         """Take keepers' words: renew their leases, or ask where rows differ."""
@@ -207,7 +207,7 @@
                 wanted = TargetRowsRequest(vouch.lease_holder_id)
                 self._outgoing.append(Outgoing(sender_id, wanted))
 
-    def wanted(
+    def handle_rows_request(
         self, sender_id: str, message: TargetRowsRequest, now_seconds: float
     ) -> None:
         """Send all rows of a keeper to an instance that lacks some."""
@@ -220,7 +220,7 @@
             Outgoing(sender_id, TargetRows(message.lease_holder_id, rows))
         )
 
-    def rows_heard(
+    def handle_rows(
         self, sender_id: str, message: TargetRows, now_seconds: float
     ) -> None:
         """Take all rows of a keeper, and drop those that it has no more.
@@ -230,7 +230,7 @@
         none of the keeper's leases is renewed: live targets would get no work.
         """
         for row in message.rows:
-            self.row_heard(sender_id, row, now_seconds)
+            self.handle_row(sender_id, row, now_seconds)
         if message.lease_holder_id == self._instance_id:
             return
         named = {row.announcement.target_id for row in message.rows}
@@ -239,7 +239,7 @@
             if known.lease_holder_id == message.lease_holder_id and is_dropped:
                 self._registry.put(replace(known, lease_holder_id=""), now_seconds)
 
-    def outgoing(self, now_seconds: float) -> Sequence[Outgoing]:
+    def collect_outgoing(self, now_seconds: float) -> Sequence[Outgoing]:
         """Return what is due: changes, questions, and now and then a word."""
         self._drop_lapsed(now_seconds)
         if now_seconds >= self._next_vouch_seconds:
--- a/tests/callers_fixture.py
+++ b/tests/callers_fixture.py
@@ -90,7 +90,7 @@
         url = str(self.targets.make_url("")).rstrip("/")
         news = TargetAnnouncement(name, 1, 1, kind, (name,), url, "a", 8, 60.0)
         spread = make_target_replication(self.router.registry, "e1", 1, False)
-        spread.announced(news, monotonic())
+        spread.handle_announcement(news, monotonic())
         self.router.tick()
 
     async def close(self) -> None:
--- a/tests/faults_fixture.py
+++ b/tests/faults_fixture.py
@@ -145,7 +145,7 @@
             60.0,
         )
         replication = make_target_replication(self.router.registry, "e1", 1, False)
-        replication.announced(announcement, monotonic())
+        replication.handle_announcement(announcement, monotonic())
         self.router.tick()
 
     async def close(self):
--- a/tests/test_target_spread_fuzz.py
+++ b/tests/test_target_spread_fuzz.py
@@ -115,7 +115,9 @@
         target.is_up = False
         target.sequence += 1
         at = self.random.choice(sorted(self.nodes))
-        self.spreads[at].left(name, target.incarnation, target.sequence, self.now)
+        self.spreads[at].handle_leave(
+            name, target.incarnation, target.sequence, self.now
+        )
         self.flush(at)
 
     @rule(name=st.sampled_from(("h0", "h1", "r0", "r1")))
@@ -178,7 +180,7 @@
                 self.spreads[at].announced(news, self.now)
         for name in list(self.nodes):
             if self.hubs and name[0] == "r" and self.now >= self.hub_heard_at[name]:
-                self.spreads[name].observe_hub("h" + name[1])
+                self.spreads[name].set_hub("h" + name[1])
             self.flush(name)
         due = [item for item in self.wire if item[0] <= self.now]
         self.wire = [item for item in self.wire if item[0] > self.now]
@@ -187,7 +189,7 @@
                 self.deliver(sender, receiver, message)
 
     def flush(self, name):
-        for outgoing in self.spreads[name].outgoing(self.now):
+        for outgoing in self.spreads[name].collect_outgoing(self.now):
             peers = self.peers(name)
             if outgoing.receiver_id is not None:
                 peers = [one for one in peers if one == outgoing.receiver_id]
@@ -203,17 +205,17 @@
         spread = self.spreads[receiver]
         match message:
             case TargetAnnouncement():
-                spread.announced(message, self.now)
+                spread.handle_announcement(message, self.now)
             case TargetRenewal():
-                spread.renewed(sender, message, self.now)
+                spread.handle_renewal(sender, message, self.now)
             case TargetRow():
-                spread.row_heard(sender, message, self.now)
+                spread.handle_row(sender, message, self.now)
             case TargetRows():
-                spread.rows_heard(sender, message, self.now)
+                spread.handle_rows(sender, message, self.now)
             case LeaseAttestations():
-                spread.vouched(sender, message, self.now)
+                spread.handle_attestations(sender, message, self.now)
             case TargetRowsRequest():
-                spread.wanted(sender, message, self.now)
+                spread.handle_rows_request(sender, message, self.now)
 
 
 TestSpread = SpreadMachine.TestCase
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -40,7 +40,7 @@
     random.shuffle(arrivals)
     registry = TargetRegistry()
     spread = make_target_replication(registry, "e1", 1, False)
-    heard = [item for item in arrivals if spread.announced(item, 0.0)]
+    heard = [item for item in arrivals if spread.handle_announcement(item, 0.0)]
     stamps = [(item.incarnation, item.announcement_sequence) for item in heard]
     assert stamps == sorted(stamps)
     newest = said[max(said)]
@@ -56,18 +56,18 @@
     way arrives after that with a later number."""
     registry = TargetRegistry()
     spread = make_target_replication(registry, "e1", 1, False)
-    spread.announced(news(1, 1), 0.0)
-    assert spread.left("t", 1, 2, 0.5)
-    spread.announced(news(1, 3), 0.6)
+    spread.handle_announcement(news(1, 1), 0.0)
+    assert spread.handle_leave("t", 1, 2, 0.5)
+    spread.handle_announcement(news(1, 3), 0.6)
     assert registry.usable({}, 0.7) == {}
-    spread.announced(news(2, 1), 0.8)
+    spread.handle_announcement(news(2, 1), 0.8)
     assert registry.usable({}, 0.9)["t"].incarnation == 2
 
 
 def test_targets_of_an_evacuated_data_centre_get_no_new_work():
     registry = TargetRegistry()
     spread = make_target_replication(registry, "e1", 1, False)
-    spread.announced(news(1, 1), 0.0)
+    spread.handle_announcement(news(1, 1), 0.0)
     place = registry.get("t").target.data_centre
     assert registry.usable({}, 0.5)
     assert not registry.usable({}, 0.5, frozenset({place}))
@@ -78,7 +78,7 @@
     failed connections, and then goes back to it more and more rarely."""
     registry = TargetRegistry()
     spread = make_target_replication(registry, "e1", 1, False)
-    spread.announced(news(lease=10.0), 0.0)
+    spread.handle_announcement(news(lease=10.0), 0.0)
     registry.suspend("t", 1, 1.0)
     assert not registry.usable({}, 1.4)
     assert registry.usable({}, 1.6)
@@ -99,7 +99,7 @@
     waits = []
     for incarnation in range(1, 7):
         started = incarnation * 5.0
-        spread.announced(news(incarnation, lease=60.0), started)
+        spread.handle_announcement(news(incarnation, lease=60.0), started)
         waited = 0.0
         while not registry.usable({}, started + waited):
             waited += 0.5
@@ -112,6 +112,6 @@
     spread = make_target_replication(registry, "e1", 1, False)
     gone = []
     registry.on_replaced(lambda *what: gone.append(what))
-    spread.announced(news(1), 0.0)
-    spread.announced(news(2), 1.0)
+    spread.handle_announcement(news(1), 0.0)
+    spread.handle_announcement(news(2), 1.0)
     assert gone == [("t", 2, 1.0)]
