--- a/sesameford/announcements.py
+++ b/sesameford/announcements.py
@@ -68,7 +68,7 @@
             raise Problem(400, "bad-body", f"{name}: out of range")
 
 
-def target_news(body: AnnounceBody) -> TargetAnnouncement:
+def announcement_from_body(body: AnnounceBody) -> TargetAnnouncement:
     """Return an announcement as instances pass it on."""
     return TargetAnnouncement(
         target_id=body.target_id,
--- a/sesameford/instance.py
+++ b/sesameford/instance.py
@@ -163,7 +163,7 @@
         ports = KeyedPorts(self._log.propose, self._words.ask, asyncio.sleep, time)
         self.keyed = KeyedRequests(settings.instance_id, self.incarnation, ports)
         self.outcomes.keyed = self.keyed
-        self.registry.on_replaced(self.outcomes.record_target_replacement)
+        self.registry.set_replacement_callback(self.outcomes.record_target_replacement)
         self._session: ClientSession | None = None
         self._orders = make_order_service(
             OrderDeps(
@@ -367,7 +367,7 @@
         self, sender_id: str, incarnation: int, message: Message
     ) -> None:
         with self._control_time.measured():
-            self.overlay.received(sender_id, incarnation, message, self._now())
+            self.overlay.handle_message(sender_id, incarnation, message, self._now())
 
     def _on_message(self, sender_id: str, incarnation: int, message: Message) -> None:
         with self._control_time.measured():
@@ -420,7 +420,7 @@
             own,
             self._settings.peers,
             self.members.all(self._now()),
-            self.registry.known(),
+            self.registry.registered_targets(),
             self.router.running_by_target(),
             self._log.status(),
             self._now(),
--- a/sesameford/operators.py
+++ b/sesameford/operators.py
@@ -12,9 +12,9 @@
 from sesameford.announcements import (
     MAX_ANNOUNCEMENT_BYTES,
     announce_bodies,
+    announcement_from_body,
     check_announcement,
     leave_bodies,
-    target_news,
 )
 from sesameford.errors import LogError, NoQuorumError, TreeError
 from sesameford.evacuations import (
@@ -166,7 +166,7 @@
         body = await read_body(request, announce_bodies, MAX_ANNOUNCEMENT_BYTES)
         fleet = fleet_settings(deps.store().declared)
         check_announcement(body, fleet.target_lease_seconds)
-        if not deps.announce(target_news(body)):
+        if not deps.announce(announcement_from_body(body)):
             raise Problem(409, "from-the-past", "a newer announcement is known")
         return json_response({"target_id": body.target_id})
 
--- a/sesameford/overlay.py
+++ b/sesameford/overlay.py
@@ -96,7 +96,7 @@
             )
             self._route(routed, now_seconds)
 
-    def received(
+    def handle_message(
         self, sender_id: str, incarnation: int, message: Message, now_seconds: float
     ) -> None:
         """Take a message from a link."""
--- a/sesameford/relay_deps.py
+++ b/sesameford/relay_deps.py
@@ -117,7 +117,7 @@
     if outcome is Outcome.RAN:
         deps.outcomes.in_flight_attempts.record_end(attempt.attempt_id)
         deps.outcomes.suspects.record_completion(call.request.body_digest, deps.now())
-        deps.router.registry.proved(attempt.target_id)
+        deps.router.registry.record_success(attempt.target_id)
     elif outcome is Outcome.UNKNOWN:
         # The body may still crash the target after the caller disconnected.
         deps.outcomes.in_flight_attempts.record_broken(attempt.attempt_id, deps.now())
--- a/sesameford/target_replication.py
+++ b/sesameford/target_replication.py
@@ -27,8 +27,8 @@
 from sesameford.targets import (
     RegisteredTarget,
     TargetRegistry,
-    news_of_target,
-    target_of_news,
+    announcement_from_entry,
+    target_from_announcement,
 )
 
 VOUCH_SECONDS = 1.25
@@ -97,7 +97,7 @@
         Returns:
             False if it is from the past, and nothing was changed.
         """
-        if self._registry.is_past(
+        if self._registry.is_outdated(
             news.target_id, news.incarnation, news.announcement_sequence
         ):
             return False
@@ -126,10 +126,10 @@
         known = self._registry.get(target_id)
         if known is None or known.target.incarnation != incarnation:
             return False
-        if self._registry.is_past(target_id, incarnation, sequence):
+        if self._registry.is_outdated(target_id, incarnation, sequence):
             return False
         news = replace_fields(
-            news_of_target(known, now_seconds),
+            announcement_from_entry(known, now_seconds),
             announcement_sequence=sequence,
             leaving=True,
         )
@@ -150,7 +150,7 @@
             self._outgoing.append(Outgoing(sender_id, wanted))
             return
         news = replace_fields(
-            news_of_target(known, now_seconds),
+            announcement_from_entry(known, now_seconds),
             announcement_sequence=message.announcement_sequence,
             lease_remaining_seconds=message.lease_remaining_seconds,
         )
@@ -182,7 +182,7 @@
             row.announcement.lease_remaining_seconds, VOUCHED_LEASE_SECONDS
         )
         news = replace_fields(row.announcement, lease_remaining_seconds=lease_seconds)
-        target = target_of_news(news, now_seconds)
+        target = target_from_announcement(news, now_seconds)
         heard = RegisteredTarget(
             target, sequence, row.version, row.lease_holder_id, row.is_lapsed
         )
@@ -298,7 +298,7 @@
         now_seconds: float,
     ) -> None:
         """Hold a target's lease here, and tell all where something changed."""
-        target = target_of_news(news, now_seconds)
+        target = target_from_announcement(news, now_seconds)
         is_kept_here = known is not None and known.lease_holder_id == self._instance_id
         version = max(known.version if known is not None else 0, self._first_version)
         is_change = (
@@ -349,7 +349,7 @@
                 vouch.digest, given_at_seconds
             )
         until_seconds = given_at_seconds + VOUCHED_LEASE_SECONDS
-        self._registry.renew_kept_by(vouch.lease_holder_id, until_seconds)
+        self._registry.renew_leases_of(vouch.lease_holder_id, until_seconds)
 
     def _may_ask(self, lease_holder_id: str, now_seconds: float) -> bool:
         """Return whether it is time to ask for a keeper's rows, again or first."""
@@ -383,13 +383,13 @@
 
 def _row_of(known: RegisteredTarget, now_seconds: float) -> TargetRow:
     """Return the row that tells others of a target."""
-    news = news_of_target(known, now_seconds)
+    news = announcement_from_entry(known, now_seconds)
     return TargetRow(known.lease_holder_id, known.version, news, known.is_lapsed)
 
 
 def _same(known: RegisteredTarget, news: TargetAnnouncement) -> bool:
     """Return whether an announcement says nothing but that the target lives on."""
-    known_news = news_of_target(known, 0.0)
+    known_news = announcement_from_entry(known, 0.0)
     return known_news == replace_fields(
         news,
         announcement_sequence=known_news.announcement_sequence,
--- a/sesameford/targets.py
+++ b/sesameford/targets.py
@@ -8,7 +8,13 @@
 from sesameford.effective import TargetSettings
 from sesameford.messages import TargetAnnouncement
 from sesameford.tables import Table, Target, TargetKind
-from sesameford.target_health import TargetHealth, began, failed, is_held, proved
+from sesameford.target_health import (
+    TargetHealth,
+    is_in_backoff,
+    record_failure,
+    record_incarnation,
+    reset_failures,
+)
 
 MAX_LEASE_SECONDS = 60.0
 FORGET_AFTER_SECONDS = 3600.0
@@ -64,14 +70,14 @@
         if old is None or old.stamp != row.stamp:
             self._digests.clear()
         if is_new:
-            self._health[target.target_id] = began(
+            self._health[target.target_id] = record_incarnation(
                 self._health.get(target.target_id), target.incarnation, now_seconds
             )
         self._known.put(target.target_id, row)
         if is_new and old is not None:
             self._on_replaced(target.target_id, target.incarnation, now_seconds)
 
-    def is_past(self, target_id: str, incarnation: int, sequence: int) -> bool:
+    def is_outdated(self, target_id: str, incarnation: int, sequence: int) -> bool:
         """Return whether an announcement is older than what is known.
 
         A leave that is overtaken by an older announcement on a slower link would
@@ -84,7 +90,7 @@
             known.announcement_sequence,
         )
 
-    def renew_kept_by(self, lease_holder_id: str, expires_at_seconds: float) -> None:
+    def renew_leases_of(self, lease_holder_id: str, expires_at_seconds: float) -> None:
         """Let the leases of all of a keeper's targets run until a later time."""
         present_seconds = self._lease_holder_leases.get(lease_holder_id, 0.0)
         self._lease_holder_leases[lease_holder_id] = max(
@@ -134,7 +140,7 @@
             if self.is_live(known, now_seconds)
             and not _is_drained(declared, known.target.target_id)
             and known.target.data_centre not in evacuated
-            and not is_held(self._health[known.target.target_id], now_seconds)
+            and not is_in_backoff(self._health[known.target.target_id], now_seconds)
         }
 
     def live(self, now_seconds: float) -> Sequence[Target]:
@@ -149,15 +155,17 @@
         """
         health = self._health.get(target_id)
         if health is not None and health.incarnation == incarnation:
-            self._health[target_id] = failed(health, now_seconds)
+            self._health[target_id] = record_failure(health, now_seconds)
 
-    def proved(self, target_id: str) -> None:
+    def record_success(self, target_id: str) -> None:
         """Take note that a target gave a whole answer."""
         health = self._health.get(target_id)
         if health is not None:
-            self._health[target_id] = proved(health)
+            self._health[target_id] = reset_failures(health)
 
-    def on_replaced(self, callback: Callable[[str, int, float], None]) -> None:
+    def set_replacement_callback(
+        self, callback: Callable[[str, int, float], None]
+    ) -> None:
         """Call back when a target that was known announces a new incarnation."""
         self._on_replaced = callback
 
@@ -172,7 +180,7 @@
                 self._health.pop(known.target.target_id, None)
                 self._digests.clear()
 
-    def known(self) -> Sequence[Target]:
+    def registered_targets(self) -> Sequence[Target]:
         """Return all targets ever heard of, with when their leases end."""
         return [
             replace(
@@ -182,7 +190,7 @@
         ]
 
 
-def target_of_news(news: TargetAnnouncement, now_seconds: float) -> Target:
+def target_from_announcement(news: TargetAnnouncement, now_seconds: float) -> Target:
     """Return the target that an announcement describes."""
     return Target(
         target_id=news.target_id,
@@ -199,7 +207,9 @@
     )
 
 
-def news_of_target(known: RegisteredTarget, now_seconds: float) -> TargetAnnouncement:
+def announcement_from_entry(
+    known: RegisteredTarget, now_seconds: float
+) -> TargetAnnouncement:
     """Return the announcement that describes what is known of a target."""
     target = known.target
     return TargetAnnouncement(
--- a/tests/faults_fixture.py
+++ b/tests/faults_fixture.py
@@ -110,7 +110,9 @@
             ),
         )
         self.outcomes.keyed = self.keyed
-        self.router.registry.on_replaced(self.outcomes.record_target_replacement)
+        self.router.registry.set_replacement_callback(
+            self.outcomes.record_target_replacement
+        )
         tree = effective_tree(parse_tree(TREE, "tree.yaml"), 1)
         self.router.configure(tree)
         self.outcomes.configure(tree)
--- a/tests/test_members_fuzz.py
+++ b/tests/test_members_fuzz.py
@@ -197,7 +197,7 @@
             for sender, incarnation, receiver, message in arriving:
                 if receiver in self.nodes and not self.is_cut(sender, receiver):
                     overlay = self.nodes[receiver].overlay
-                    overlay.received(sender, incarnation, message, self.now)
+                    overlay.handle_message(sender, incarnation, message, self.now)
 
     def is_cut(self, one, other):
         return len({one, other} & self.cut) == 1
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -85,7 +85,7 @@
     registry.suspend("t", 1, 1.6)
     assert not registry.usable({}, 2.5)
     assert registry.usable({}, 2.7)
-    registry.proved("t")
+    registry.record_success("t")
     registry.suspend("t", 1, 3.0)
     assert registry.usable({}, 3.6)
     assert not registry.usable({}, 10.0)
@@ -111,7 +111,7 @@
     registry = TargetRegistry()
     spread = make_target_replication(registry, "e1", 1, False)
     gone = []
-    registry.on_replaced(lambda *what: gone.append(what))
+    registry.set_replacement_callback(lambda *what: gone.append(what))
     spread.handle_announcement(news(1), 0.0)
     spread.handle_announcement(news(2), 1.0)
     assert gone == [("t", 2, 1.0)]
