--- a/sesameford/target_health.py
+++ b/sesameford/target_health.py
@@ -1,4 +1,4 @@
-"""How soon a target that failed or flaps gets new work again, at one router."""
+"""Backoff of targets with failed connections or frequent restarts, at one router."""
 
 from dataclasses import dataclass, replace
 
@@ -11,10 +11,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetHealth:
-    """What a target did lately.
+    """The recent failures and restarts of a target.
 
-    ``failures`` counts failed fresh connections since the last success, ``flaps``
-    the incarnations that lived shorter than `FLAP_LIFETIME_SECONDS`.
+    ``failures`` counts failed fresh connections since the last success, ``flaps`` the
+    consecutive incarnations that lived shorter than `FLAP_LIFETIME_SECONDS`.
     """
 
     incarnation: int
@@ -29,8 +29,8 @@
 ) -> TargetHealth:
     """Return the health of a target with a new incarnation.
 
-    A target that crashes soon after each start would otherwise get a full load of
-    requests each time, and each of these would be cut.
+    A target that crashes soon after each start gets no new work for a while. Otherwise
+    it would get a full load of requests each time, and all of these would be cut.
     """
     if health is None:
         return TargetHealth(incarnation, now_seconds)
@@ -48,8 +48,7 @@
 def record_failure(health: TargetHealth, now_seconds: float) -> TargetHealth:
     """Return the health after a fresh connection failed."""
     if now_seconds < health.backoff_until_seconds:
-        # Requests that were on their way together fail together; one failure of
-        # the target must not count as many.
+        # Concurrent requests fail together; they count as one failure of the target.
         return health
     doubled_seconds = INITIAL_BACKOFF_SECONDS * 2.0 ** min(health.failures, 16)
     backoff_seconds = min(doubled_seconds, MAX_BACKOFF_SECONDS)
@@ -61,10 +60,10 @@
 
 
 def reset_failures(health: TargetHealth) -> TargetHealth:
-    """Return the health after an answer came whole."""
+    """Return the health after a complete answer."""
     return replace(health, failures=0) if health.failures else health
 
 
 def is_in_backoff(health: TargetHealth, now_seconds: float) -> bool:
-    """Return whether the target gets no new work for now."""
+    """Return whether the target currently gets no new work."""
     return now_seconds < health.backoff_until_seconds
--- a/sesameford/target_replication.py
+++ b/sesameford/target_replication.py
@@ -1,11 +1,11 @@
-"""Spreads targets and their leases over the fleet at a cost that few changes make.
-
-Every target announces itself about once a second. Passed on as they come, the
-announcements of 600 targets would cost each of 360 instances over 100 KB/s. So one
-instance, the target's keeper, takes its announcements and holds its lease. Others
-hear of a target when something changes, and once a second the keeper vouches for
-all its targets in one short message with a digest over them. A receiver whose own
-digest differs asks for the rows.
+"""Replicates targets and their leases over the fleet, at a cost that follows changes.
+
+Every target announces itself about once a second. If all instances forwarded every
+announcement, those of 600 targets would cost each of 360 instances over 100 KB/s. So
+one instance, the target's lease holder, handles its announcements and holds its lease.
+The others are notified of changes. About once a second the lease holder attests all its
+targets in one short message with a digest over them. A receiver whose own digest
+differs requests the rows.
 """
 
 from collections.abc import Collection, Sequence
@@ -31,31 +31,32 @@
     target_from_announcement,
 )
 
-VOUCH_SECONDS = 1.25
-# After this long without a keeper's word its targets get no new work. With the
-# time that a word may be under way it stays below the 3 s that were promised.
-VOUCHED_LEASE_SECONDS = 2.5
-WANTED_AGAIN_SECONDS = 1.0
-KEEPER_SILENT_SECONDS = 2.25
+ATTESTATION_INTERVAL_SECONDS = 1.25
+# Targets get no new work after this long without an attestation of their lease holder.
+# With the time that a message may take it stays below the guaranteed 3 s.
+ATTESTED_LEASE_SECONDS = 2.5
+ROWS_REQUEST_INTERVAL_SECONDS = 1.0
+LEASE_HOLDER_TIMEOUT_SECONDS = 2.25
 
 
 @dataclass(frozen=True, slots=True)
-class _HeardVouch:
-    """A keeper's latest word, as it agreed with the rows here."""
+class _ReceivedAttestation:
+    """A lease holder's latest attestation that agreed with the rows here."""
 
     digest: int
-    given_at_seconds: float
+    attested_at_seconds: float
 
 
 class TargetReplication:
-    """The spread of targets at one instance.
+    """The replication of targets at one instance.
 
     Args:
-        registry: The table that it fills.
-        instance_id: This instance.
-        incarnation: Of its process. Versions begin there, so that a keeper that
-            restarts empty does not count again below what others have of it.
-        passes_on: Whether it passes on what it hears, as a hub of its data centre.
+        registry: The table to fill.
+        instance_id: The id of this instance.
+        incarnation: The incarnation of its process. Versions start there, so that a
+            lease holder that restarts empty doesn't count below the versions that
+            others have of it.
+        is_hub: Whether it forwards what it receives, as a hub of its data centre.
         hub_ids: The other hubs that it has links to.
     """
 
@@ -64,157 +65,165 @@
         registry: TargetRegistry,
         instance_id: str,
         incarnation: int,
-        passes_on: bool,
+        is_hub: bool,
         hub_ids: Collection[str] = (),
     ) -> None:
         self._registry = registry
         self._hub_ids = frozenset(hub_ids)
         self._first_version = incarnation
         self._instance_id = instance_id
-        self._passes_on = passes_on
+        self._is_hub = is_hub
         self._outgoing: list[Outgoing] = []
-        self._heard: dict[str, _HeardVouch] = {}
-        self._word_at_seconds: dict[str, float] = {}
-        self._asked: dict[str, float] = {}
-        self._next_vouch_seconds = 0.0
+        self._attestations: dict[str, _ReceivedAttestation] = {}
+        self._lease_holder_seen_at_seconds: dict[str, float] = {}
+        self._rows_requested_at_seconds: dict[str, float] = {}
+        self._next_attestation_seconds = 0.0
         self._hub_id: str | None = None
 
     def schedule_attestation(self) -> None:
-        """Let the next word of this keeper go out now, beside the heartbeat.
+        """Make this instance's next attestation due now, together with its heartbeat.
 
-        Each on its own time they would go out in two envelopes to every peer, and
-        what the network adds to an envelope is more than the word itself.
+        On schedules of their own the two would take two envelopes to every peer, and
+        the network's overhead for an envelope is larger than the attestation itself.
         """
-        self._next_vouch_seconds = -inf
+        self._next_attestation_seconds = -inf
 
     def set_hub(self, hub_id: str | None) -> None:
-        """Take the hub that the keeping is left to, None where there is none."""
+        """Set the hub that holds the leases for this instance, None without one."""
         self._hub_id = hub_id
 
-    def handle_announcement(self, news: TargetAnnouncement, now_seconds: float) -> bool:
-        """Take an announcement that a target made here or another passed on.
+    def handle_announcement(
+        self, announcement: TargetAnnouncement, now_seconds: float
+    ) -> bool:
+        """Handle an announcement that a target made here or another instance forwarded.
 
         Returns:
-            False if it is from the past, and nothing was changed.
+            False if it is outdated, and nothing was changed.
         """
         if self._registry.is_outdated(
-            news.target_id, news.incarnation, news.announcement_sequence
+            announcement.target_id,
+            announcement.incarnation,
+            announcement.announcement_sequence,
         ):
             return False
-        known = self._registry.get(news.target_id)
-        lease_holder_id = self._lease_holder_of(known, news, now_seconds)
+        entry = self._registry.get(announcement.target_id)
+        lease_holder_id = self._choose_lease_holder(entry, announcement, now_seconds)
         if lease_holder_id == self._instance_id:
-            self._keep(known, news, now_seconds)
+            self._hold_lease(entry, announcement, now_seconds)
             return True
-        if known is not None and known.target.incarnation == news.incarnation:
-            # Noted before it goes on, so that two instances which each take the
-            # other for the keeper do not pass it to and fro for ever.
-            sequence = news.announcement_sequence
-            noted = replace(known, announcement_sequence=sequence)
-            self._registry.put(noted, now_seconds)
-        self._pass_to_lease_holder(lease_holder_id, known, news)
+        if entry is not None and entry.target.incarnation == announcement.incarnation:
+            # Recorded before it is forwarded, so that two instances which each take
+            # the other for the lease holder don't forward it to each other for ever.
+            sequence = announcement.announcement_sequence
+            updated = replace(entry, announcement_sequence=sequence)
+            self._registry.put(updated, now_seconds)
+        self._forward_to_lease_holder(lease_holder_id, entry, announcement)
         return True
 
     def handle_leave(
         self, target_id: str, incarnation: int, sequence: int, now_seconds: float
     ) -> bool:
-        """Take a target's word, given here, that it leaves.
+        """Handle a target's request, made here, to leave.
 
         Returns:
-            False if it is from the past or of a target that is not known.
+            False if it is outdated or the target is unknown.
         """
-        known = self._registry.get(target_id)
-        if known is None or known.target.incarnation != incarnation:
+        entry = self._registry.get(target_id)
+        if entry is None or entry.target.incarnation != incarnation:
             return False
         if self._registry.is_outdated(target_id, incarnation, sequence):
             return False
-        news = replace_fields(
-            announcement_from_entry(known, now_seconds),
+        announcement = replace_fields(
+            announcement_from_entry(entry, now_seconds),
             announcement_sequence=sequence,
             leaving=True,
         )
-        # Not left to the keeper: it may be out of reach, and then every other
-        # router would go on sending work to a target that has said good-bye.
-        self._keep(known, news, now_seconds)
+        # Not left to the lease holder: it may be unreachable, and then every other
+        # router would continue to send work to a target that has left.
+        self._hold_lease(entry, announcement, now_seconds)
         return True
 
     def handle_renewal(
         self, sender_id: str, message: TargetRenewal, now_seconds: float
     ) -> None:
-        """Take, as the keeper, an announcement that was made elsewhere."""
-        known = self._registry.get(message.target_id)
-        if known is None or known.target.incarnation != message.incarnation:
-            # Short news of a target that a keeper restarted empty has lost: left
-            # alone, the target would announce itself in vain from now on.
-            wanted = TargetRowsRequest(self._instance_id)
-            self._outgoing.append(Outgoing(sender_id, wanted))
+        """Handle, as the lease holder, an announcement made at another instance."""
+        entry = self._registry.get(message.target_id)
+        if entry is None or entry.target.incarnation != message.incarnation:
+            # A lease holder that restarted empty has lost the target. Without its row,
+            # renewals could not bring it back: it would announce itself in vain.
+            request = TargetRowsRequest(self._instance_id)
+            self._outgoing.append(Outgoing(sender_id, request))
             return
-        news = replace_fields(
-            announcement_from_entry(known, now_seconds),
+        announcement = replace_fields(
+            announcement_from_entry(entry, now_seconds),
             announcement_sequence=message.announcement_sequence,
             lease_remaining_seconds=message.lease_remaining_seconds,
         )
-        self.handle_announcement(news, now_seconds)
+        self.handle_announcement(announcement, now_seconds)
 
     def handle_row(self, sender_id: str, row: TargetRow, now_seconds: float) -> bool:
-        """Take a changed target from another instance.
+        """Handle a row of a changed target from another instance.
 
         Returns:
-            Whether it was news here.
+            Whether the row was newer than the entry here.
         """
-        known = self._registry.get(row.announcement.target_id)
+        entry = self._registry.get(row.announcement.target_id)
         stamp = (row.announcement.incarnation, row.version, row.lease_holder_id)
-        if known is not None and stamp <= known.stamp:
-            # The sender may be a hub that restarted empty and took the row of an
-            # instance that was behind. Left with it, neither would ever accept the
-            # other's, and the target would be dead here and alive there.
-            if stamp < known.stamp:
-                behind = Outgoing(sender_id, _row_of(known, now_seconds))
-                self._outgoing.append(behind)
+        if entry is not None and stamp <= entry.stamp:
+            # The sender may be a hub that restarted empty and accepted the row of an
+            # instance that was behind. Unless it gets the newer row, neither accepts
+            # the other's row, and the target stays dead here and alive there.
+            if stamp < entry.stamp:
+                reply = Outgoing(sender_id, _make_row(entry, now_seconds))
+                self._outgoing.append(reply)
             return False
         sequence = row.announcement.announcement_sequence
         if (
-            known is not None
-            and known.target.incarnation == row.announcement.incarnation
+            entry is not None
+            and entry.target.incarnation == row.announcement.incarnation
         ):
-            sequence = max(sequence, known.announcement_sequence)
+            sequence = max(sequence, entry.announcement_sequence)
         lease_seconds = min(
-            row.announcement.lease_remaining_seconds, VOUCHED_LEASE_SECONDS
+            row.announcement.lease_remaining_seconds, ATTESTED_LEASE_SECONDS
+        )
+        announcement = replace_fields(
+            row.announcement, lease_remaining_seconds=lease_seconds
         )
-        news = replace_fields(row.announcement, lease_remaining_seconds=lease_seconds)
-        target = target_from_announcement(news, now_seconds)
-        heard = RegisteredTarget(
+        target = target_from_announcement(announcement, now_seconds)
+        received = RegisteredTarget(
             target, sequence, row.version, row.lease_holder_id, row.is_lapsed
         )
-        self._registry.put(heard, now_seconds)
-        self._word_at_seconds[row.lease_holder_id] = now_seconds
-        if self._passes_on:
+        self._registry.put(received, now_seconds)
+        self._lease_holder_seen_at_seconds[row.lease_holder_id] = now_seconds
+        if self._is_hub:
             self._send_row(self._registry.get(target.target_id), now_seconds)
         return True
 
     def handle_attestations(
         self, sender_id: str, message: LeaseAttestations, now_seconds: float
     ) -> None:
-        """Take keepers' words: renew their leases, or ask where rows differ."""
-        for vouch in message.attestations:
-            if vouch.lease_holder_id == self._instance_id:
+        """Handle attestations: renew the leases, or request the rows that differ."""
+        for attestation in message.attestations:
+            if attestation.lease_holder_id == self._instance_id:
                 continue
-            given_at_seconds = now_seconds - vouch.age_milliseconds / 1000
-            self._word_at_seconds[vouch.lease_holder_id] = given_at_seconds
-            if vouch.digest == self._registry.digest(vouch.lease_holder_id):
-                self._renew(vouch, given_at_seconds)
-            elif self._may_ask(vouch.lease_holder_id, now_seconds):
-                wanted = TargetRowsRequest(vouch.lease_holder_id)
-                self._outgoing.append(Outgoing(sender_id, wanted))
+            attested_at_seconds = now_seconds - attestation.age_milliseconds / 1000
+            self._lease_holder_seen_at_seconds[attestation.lease_holder_id] = (
+                attested_at_seconds
+            )
+            if attestation.digest == self._registry.digest(attestation.lease_holder_id):
+                self._renew_leases(attestation, attested_at_seconds)
+            elif self._may_request_rows(attestation.lease_holder_id, now_seconds):
+                request = TargetRowsRequest(attestation.lease_holder_id)
+                self._outgoing.append(Outgoing(sender_id, request))
 
     def handle_rows_request(
         self, sender_id: str, message: TargetRowsRequest, now_seconds: float
     ) -> None:
-        """Send all rows of a keeper to an instance that lacks some."""
+        """Send all rows of a lease holder to an instance that lacks some."""
         rows = tuple(
-            _row_of(known, now_seconds)
-            for known in self._registry.rows()
-            if known.lease_holder_id == message.lease_holder_id
+            _make_row(entry, now_seconds)
+            for entry in self._registry.rows()
+            if entry.lease_holder_id == message.lease_holder_id
         )
         self._outgoing.append(
             Outgoing(sender_id, TargetRows(message.lease_holder_id, rows))
@@ -223,93 +232,98 @@
     def handle_rows(
         self, sender_id: str, message: TargetRows, now_seconds: float
     ) -> None:
-        """Take all rows of a keeper, and drop those that it has no more.
+        """Handle all rows of a lease holder, and release the targets it no longer has.
 
-        A keeper that restarts empty knows nothing of what it kept before. As long as
-        a receiver counts such a target among the keeper's, the digests differ and
-        none of the keeper's leases is renewed: live targets would get no work.
+        A lease holder that restarts empty has lost the leases it held before. As long
+        as a receiver counts such a target among the lease holder's, the digests differ
+        and none of its leases is renewed: live targets would get no work.
         """
         for row in message.rows:
             self.handle_row(sender_id, row, now_seconds)
         if message.lease_holder_id == self._instance_id:
             return
-        named = {row.announcement.target_id for row in message.rows}
-        for known in self._registry.rows():
-            is_dropped = known.target.target_id not in named
-            if known.lease_holder_id == message.lease_holder_id and is_dropped:
-                self._registry.put(replace(known, lease_holder_id=""), now_seconds)
+        listed_ids = {row.announcement.target_id for row in message.rows}
+        for entry in self._registry.rows():
+            is_dropped = entry.target.target_id not in listed_ids
+            if entry.lease_holder_id == message.lease_holder_id and is_dropped:
+                self._registry.put(replace(entry, lease_holder_id=""), now_seconds)
 
     def collect_outgoing(self, now_seconds: float) -> Sequence[Outgoing]:
-        """Return what is due: changes, questions, and now and then a word."""
-        self._drop_lapsed(now_seconds)
-        if now_seconds >= self._next_vouch_seconds:
-            self._next_vouch_seconds = now_seconds + VOUCH_SECONDS
-            vouches = self._vouches(now_seconds)
-            if vouches:
-                self._outgoing.append(Outgoing(None, LeaseAttestations(vouches)))
+        """Return the messages that are due: changes, requests and attestations."""
+        self._expire_leases(now_seconds)
+        if now_seconds >= self._next_attestation_seconds:
+            self._next_attestation_seconds = now_seconds + ATTESTATION_INTERVAL_SECONDS
+            attestations = self._collect_attestations(now_seconds)
+            if attestations:
+                self._outgoing.append(Outgoing(None, LeaseAttestations(attestations)))
         due, self._outgoing = self._outgoing, []
         return due
 
-    def _lease_holder_of(
+    def _choose_lease_holder(
         self,
-        known: RegisteredTarget | None,
-        news: TargetAnnouncement,
+        entry: RegisteredTarget | None,
+        announcement: TargetAnnouncement,
         now_seconds: float,
     ) -> str:
-        """Return who is to keep a target that announces itself here."""
+        """Return the lease holder for a target that announces itself here."""
         if self._hub_id is not None:
             return self._hub_id
-        is_new_life = known is None or known.target.incarnation != news.incarnation
-        if known is None or is_new_life or known.target.leaving:
+        is_new_incarnation = (
+            entry is None or entry.target.incarnation != announcement.incarnation
+        )
+        if entry is None or is_new_incarnation or entry.target.leaving:
             return self._instance_id
-        # An instance that knew of no hub when the target came keeps it until a hub
-        # hears of it: two that each leave it to the other would both let it lapse.
-        if self._passes_on and known.lease_holder_id not in self._hub_ids:
+        # An instance that knew no hub when the target announced itself holds the lease
+        # until a hub receives the target: if each left the lease to the other, it
+        # would lapse.
+        if self._is_hub and entry.lease_holder_id not in self._hub_ids:
             return self._instance_id
-        # A keeper that died or is cut off would go on getting the announcements,
-        # and the target, though it lives, would get no work. Its silence shows it.
-        word_at_seconds = self._word_at_seconds.get(known.lease_holder_id, -inf)
-        if now_seconds - word_at_seconds < KEEPER_SILENT_SECONDS:
-            return known.lease_holder_id
+        # Announcements must not go to a lease holder that died or is isolated, or the
+        # live target would get no work. Its silence shows that.
+        seen_at_seconds = self._lease_holder_seen_at_seconds.get(
+            entry.lease_holder_id, -inf
+        )
+        if now_seconds - seen_at_seconds < LEASE_HOLDER_TIMEOUT_SECONDS:
+            return entry.lease_holder_id
         return self._instance_id
 
-    def _pass_to_lease_holder(
+    def _forward_to_lease_holder(
         self,
         lease_holder_id: str,
-        known: RegisteredTarget | None,
-        news: TargetAnnouncement,
+        entry: RegisteredTarget | None,
+        announcement: TargetAnnouncement,
     ) -> None:
-        """Send an announcement to the keeper, in short where nothing changed."""
-        message: TargetAnnouncement | TargetRenewal = news
-        is_kept_there = known is not None and known.lease_holder_id == lease_holder_id
-        if known is not None and is_kept_there and _same(known, news):
+        """Send an announcement to its lease holder, as a renewal if nothing changed."""
+        message: TargetAnnouncement | TargetRenewal = announcement
+        is_held_there = entry is not None and entry.lease_holder_id == lease_holder_id
+        if entry is not None and is_held_there and _is_unchanged(entry, announcement):
             message = TargetRenewal(
-                news.target_id,
-                news.incarnation,
-                news.announcement_sequence,
-                news.lease_remaining_seconds,
+                announcement.target_id,
+                announcement.incarnation,
+                announcement.announcement_sequence,
+                announcement.lease_remaining_seconds,
             )
-        self._outgoing.append(Outgoing(lease_holder_id, message, urgent=known is None))
+        self._outgoing.append(Outgoing(lease_holder_id, message, urgent=entry is None))
 
-    def _keep(
+    def _hold_lease(
         self,
-        known: RegisteredTarget | None,
-        news: TargetAnnouncement,
+        entry: RegisteredTarget | None,
+        announcement: TargetAnnouncement,
         now_seconds: float,
     ) -> None:
-        """Hold a target's lease here, and tell all where something changed."""
-        target = target_from_announcement(news, now_seconds)
-        is_kept_here = known is not None and known.lease_holder_id == self._instance_id
-        version = max(known.version if known is not None else 0, self._first_version)
+        """Hold a target's lease here, and notify all instances of a change."""
+        target = target_from_announcement(announcement, now_seconds)
+        is_held_here = entry is not None and entry.lease_holder_id == self._instance_id
+        version = max(entry.version if entry is not None else 0, self._first_version)
         is_change = (
-            known is None
-            or not is_kept_here
-            or not _same(known, news)
-            or not self._registry.is_live(known, now_seconds)
+            entry is None
+            or not is_held_here
+            or not _is_unchanged(entry, announcement)
+            or not self._registry.is_live(entry, now_seconds)
         )
         row = RegisteredTarget(
             target,
-            news.announcement_sequence,
+            announcement.announcement_sequence,
             version + 1 if is_change else version,
             self._instance_id,
         )
@@ -317,83 +331,87 @@
         if is_change:
             self._send_row(row, now_seconds)
 
-    def _send_row(self, known: RegisteredTarget | None, now_seconds: float) -> None:
-        """Tell all of a change; that a target is gone can't wait."""
-        if known is not None:
-            row = _row_of(known, now_seconds)
+    def _send_row(self, entry: RegisteredTarget | None, now_seconds: float) -> None:
+        """Send a changed row to all instances, urgently if the target is gone."""
+        if entry is not None:
+            row = _make_row(entry, now_seconds)
             self._outgoing.append(
                 Outgoing(None, row, urgent=row.announcement.leaving or row.is_lapsed)
             )
 
-    def _drop_lapsed(self, now_seconds: float) -> None:
-        """Tell all of a target kept here whose lease has run out.
+    def _expire_leases(self, now_seconds: float) -> None:
+        """Notify all instances of targets held here whose leases have expired.
 
-        Routers that hear the keeper's word would take the target for alive as long
-        as the rows agree, although it has been silent: so its end is a change.
+        Routers that receive the attestations would consider the target live as long
+        as the rows agree, although it is silent. So the expiry is a change of its row.
         """
-        for known in self._registry.rows():
-            is_kept_here = known.lease_holder_id == self._instance_id
-            is_gone = known.target.leaving or known.is_lapsed
-            if is_kept_here and not is_gone:
-                if known.target.lease_expires_at_seconds > now_seconds:
+        for entry in self._registry.rows():
+            is_held_here = entry.lease_holder_id == self._instance_id
+            is_gone = entry.target.leaving or entry.is_lapsed
+            if is_held_here and not is_gone:
+                if entry.target.lease_expires_at_seconds > now_seconds:
                     continue
-                row = replace(known, is_lapsed=True, version=known.version + 1)
+                row = replace(entry, is_lapsed=True, version=entry.version + 1)
                 self._registry.put(row, now_seconds)
                 self._send_row(row, now_seconds)
 
-    def _renew(self, vouch: LeaseAttestation, given_at_seconds: float) -> None:
-        """Let the leases of a keeper's targets run on from its word."""
-        heard = self._heard.get(vouch.lease_holder_id)
-        if heard is None or heard.given_at_seconds < given_at_seconds:
-            self._heard[vouch.lease_holder_id] = _HeardVouch(
-                vouch.digest, given_at_seconds
+    def _renew_leases(
+        self, attestation: LeaseAttestation, attested_at_seconds: float
+    ) -> None:
+        """Extend the leases of a lease holder's targets from its attestation."""
+        received = self._attestations.get(attestation.lease_holder_id)
+        if received is None or received.attested_at_seconds < attested_at_seconds:
+            self._attestations[attestation.lease_holder_id] = _ReceivedAttestation(
+                attestation.digest, attested_at_seconds
             )
-        until_seconds = given_at_seconds + VOUCHED_LEASE_SECONDS
-        self._registry.renew_leases_of(vouch.lease_holder_id, until_seconds)
+        until_seconds = attested_at_seconds + ATTESTED_LEASE_SECONDS
+        self._registry.renew_leases_of(attestation.lease_holder_id, until_seconds)
 
-    def _may_ask(self, lease_holder_id: str, now_seconds: float) -> bool:
-        """Return whether it is time to ask for a keeper's rows, again or first."""
-        asked_seconds = self._asked.get(lease_holder_id)
+    def _may_request_rows(self, lease_holder_id: str, now_seconds: float) -> bool:
+        """Return whether a first or further request for a holder's rows is due."""
+        requested_at_seconds = self._rows_requested_at_seconds.get(lease_holder_id)
         if (
-            asked_seconds is not None
-            and now_seconds - asked_seconds < WANTED_AGAIN_SECONDS
+            requested_at_seconds is not None
+            and now_seconds - requested_at_seconds < ROWS_REQUEST_INTERVAL_SECONDS
         ):
             return False
-        self._asked[lease_holder_id] = now_seconds
+        self._rows_requested_at_seconds[lease_holder_id] = now_seconds
         return True
 
-    def _vouches(self, now_seconds: float) -> tuple[LeaseAttestation, ...]:
-        """Return this keeper's word, and on a hub those of others that are fresh."""
-        vouches = []
+    def _collect_attestations(self, now_seconds: float) -> tuple[LeaseAttestation, ...]:
+        """Return this instance's attestation, and on a hub recent ones of others."""
+        attestations = []
         if any(k.lease_holder_id == self._instance_id for k in self._registry.rows()):
             digest = self._registry.digest(self._instance_id)
-            vouches.append(LeaseAttestation(self._instance_id, digest, 0))
-        if self._passes_on:
-            for lease_holder_id, heard in self._heard.items():
-                age_seconds = now_seconds - heard.given_at_seconds
-                if age_seconds < VOUCHED_LEASE_SECONDS:
+            attestations.append(LeaseAttestation(self._instance_id, digest, 0))
+        if self._is_hub:
+            for lease_holder_id, received in self._attestations.items():
+                age_seconds = now_seconds - received.attested_at_seconds
+                if age_seconds < ATTESTED_LEASE_SECONDS:
                     age_milliseconds = ceil(age_seconds * 1000)
-                    vouches.append(
+                    attestations.append(
                         LeaseAttestation(
-                            lease_holder_id, heard.digest, age_milliseconds
+                            lease_holder_id, received.digest, age_milliseconds
                         )
                     )
-        return tuple(vouches)
+        return tuple(attestations)
 
 
-def _row_of(known: RegisteredTarget, now_seconds: float) -> TargetRow:
-    """Return the row that tells others of a target."""
-    news = announcement_from_entry(known, now_seconds)
-    return TargetRow(known.lease_holder_id, known.version, news, known.is_lapsed)
+def _make_row(entry: RegisteredTarget, now_seconds: float) -> TargetRow:
+    """Return the row that reports a target to other instances."""
+    announcement = announcement_from_entry(entry, now_seconds)
+    return TargetRow(
+        entry.lease_holder_id, entry.version, announcement, entry.is_lapsed
+    )
 
 
-def _same(known: RegisteredTarget, news: TargetAnnouncement) -> bool:
-    """Return whether an announcement says nothing but that the target lives on."""
-    known_news = announcement_from_entry(known, 0.0)
-    return known_news == replace_fields(
-        news,
-        announcement_sequence=known_news.announcement_sequence,
-        lease_remaining_seconds=known_news.lease_remaining_seconds,
+def _is_unchanged(entry: RegisteredTarget, announcement: TargetAnnouncement) -> bool:
+    """Return whether an announcement reports only that the target is still alive."""
+    entry_announcement = announcement_from_entry(entry, 0.0)
+    return entry_announcement == replace_fields(
+        announcement,
+        announcement_sequence=entry_announcement.announcement_sequence,
+        lease_remaining_seconds=entry_announcement.lease_remaining_seconds,
     )
 
 
@@ -401,16 +419,16 @@
     registry: TargetRegistry,
     instance_id: str,
     incarnation: int,
-    passes_on: bool,
+    is_hub: bool,
     hub_ids: Collection[str] = (),
 ) -> TargetReplication:
-    """Return the spread of targets at an instance.
+    """Return the replication of targets at an instance.
 
     Args:
-        registry: The table that it fills.
-        instance_id: This instance.
-        incarnation: Of its process, larger after each restart.
-        passes_on: Whether it passes on what it hears, as a hub of its data centre.
+        registry: The table to fill.
+        instance_id: The id of this instance.
+        incarnation: The incarnation of its process, larger after each restart.
+        is_hub: Whether it forwards what it receives, as a hub of its data centre.
         hub_ids: The other hubs that it has links to.
     """
-    return TargetReplication(registry, instance_id, incarnation, passes_on, hub_ids)
+    return TargetReplication(registry, instance_id, incarnation, is_hub, hub_ids)
--- a/sesameford/targets.py
+++ b/sesameford/targets.py
@@ -22,10 +22,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RegisteredTarget:
-    """A target with what orders its news.
+    """A target with the numbers that order its announcements and rows.
 
-    ``announcement_sequence`` is the highest heard of its incarnation. ``version``
-    and ``lease_holder_id`` order what instances tell each other of it.
+    ``announcement_sequence`` is the highest received of its incarnation. ``version``
+    and ``lease_holder_id`` order the rows that instances send each other.
     """
 
     target: Target
@@ -36,7 +36,7 @@
 
     @property
     def stamp(self) -> tuple[int, int, str]:
-        """Return what orders rows of one target."""
+        """Return the key that orders rows of one target."""
         return self.target.incarnation, self.version, self.lease_holder_id
 
 
@@ -44,27 +44,27 @@
     """Targets by id; only the newest incarnation and announcement count."""
 
     def __init__(self) -> None:
-        self._known: Table[str, RegisteredTarget] = Table()
-        self._lease_holder_leases: dict[str, float] = {}
+        self._entries: Table[str, RegisteredTarget] = Table()
+        self._attested_until_seconds: dict[str, float] = {}
         self._digests: dict[str, int] = {}
         self._health: dict[str, TargetHealth] = {}
         self._on_replaced: Callable[[str, int, float], None] = lambda *_: None
 
     def get(self, target_id: str) -> RegisteredTarget | None:
-        """Return what is known of a target."""
-        return self._known.get(target_id)
+        """Return the entry of a target, None if it is unknown."""
+        return self._entries.get(target_id)
 
     def rows(self) -> Sequence[RegisteredTarget]:
-        """Return all that is known."""
-        return list(self._known)
+        """Return all entries."""
+        return list(self._entries)
 
     def put(self, row: RegisteredTarget, now_seconds: float) -> None:
-        """Insert or replace what is known of a target."""
+        """Insert or replace the entry of a target."""
         target = row.target
-        old = self._known.get(target.target_id)
+        old = self._entries.get(target.target_id)
         is_new = old is None or target.incarnation > old.target.incarnation
-        # A leave is for good: an announcement that was on its way beside it, or one
-        # of a target that is ending, must not bring the incarnation back.
+        # A leave is final: a concurrent announcement, or one of a target that is
+        # stopping, must not bring the incarnation back.
         if old is not None and old.target.leaving and not is_new:
             row = replace(row, target=replace(target, leaving=True))
         if old is None or old.stamp != row.stamp:
@@ -73,50 +73,50 @@
             self._health[target.target_id] = record_incarnation(
                 self._health.get(target.target_id), target.incarnation, now_seconds
             )
-        self._known.put(target.target_id, row)
+        self._entries.put(target.target_id, row)
         if is_new and old is not None:
             self._on_replaced(target.target_id, target.incarnation, now_seconds)
 
     def is_outdated(self, target_id: str, incarnation: int, sequence: int) -> bool:
-        """Return whether an announcement is older than what is known.
+        """Return whether an announcement is no newer than the entry.
 
-        A leave that is overtaken by an older announcement on a slower link would
-        bring the target back: callers would see refused connections. The pair of
-        incarnation and sequence only rises, so the past is recognised.
+        An older announcement that arrives after a leave over a slower link would bring
+        the target back, and callers would get refused connections. The pair of
+        incarnation and sequence only grows, so an outdated one is recognised.
         """
-        known = self._known.get(target_id)
-        return known is not None and (incarnation, sequence) <= (
-            known.target.incarnation,
-            known.announcement_sequence,
+        entry = self._entries.get(target_id)
+        return entry is not None and (incarnation, sequence) <= (
+            entry.target.incarnation,
+            entry.announcement_sequence,
         )
 
     def renew_leases_of(self, lease_holder_id: str, expires_at_seconds: float) -> None:
-        """Let the leases of all of a keeper's targets run until a later time."""
-        present_seconds = self._lease_holder_leases.get(lease_holder_id, 0.0)
-        self._lease_holder_leases[lease_holder_id] = max(
-            present_seconds, expires_at_seconds
+        """Extend the leases of all targets of a lease holder to a later time."""
+        current_seconds = self._attested_until_seconds.get(lease_holder_id, 0.0)
+        self._attested_until_seconds[lease_holder_id] = max(
+            current_seconds, expires_at_seconds
         )
 
-    def expires_at_seconds(self, known: RegisteredTarget) -> float:
-        """Return when a target's lease ends, its own or its keeper's word."""
+    def expires_at_seconds(self, entry: RegisteredTarget) -> float:
+        """Return when a target's lease ends, its own or as its holder attested."""
         return max(
-            known.target.lease_expires_at_seconds,
-            self._lease_holder_leases.get(known.lease_holder_id, 0.0),
+            entry.target.lease_expires_at_seconds,
+            self._attested_until_seconds.get(entry.lease_holder_id, 0.0),
         )
 
-    def is_live(self, known: RegisteredTarget, now_seconds: float) -> bool:
-        """Return whether a target's lease runs and it has not left."""
-        is_gone = known.target.leaving or known.is_lapsed
-        return not is_gone and self.expires_at_seconds(known) > now_seconds
+    def is_live(self, entry: RegisteredTarget, now_seconds: float) -> bool:
+        """Return whether a target's lease is valid and it has not left."""
+        is_gone = entry.target.leaving or entry.is_lapsed
+        return not is_gone and self.expires_at_seconds(entry) > now_seconds
 
     def digest(self, lease_holder_id: str) -> int:
-        """Return the digest over the present versions of a keeper's targets."""
+        """Return the digest over the current versions of a lease holder's targets."""
         if lease_holder_id not in self._digests:
             digest = 0
-            for known in self._known:
-                if known.lease_holder_id == lease_holder_id:
-                    incarnation, version, _ = known.stamp
-                    name = f"{known.target.target_id}/{incarnation}/{version}"
+            for entry in self._entries:
+                if entry.lease_holder_id == lease_holder_id:
+                    incarnation, version, _ = entry.stamp
+                    name = f"{entry.target.target_id}/{incarnation}/{version}"
                     digest ^= xxh32_intdigest(name.encode())
             self._digests[lease_holder_id] = digest
         return self._digests[lease_holder_id]
@@ -130,35 +130,35 @@
         """Return the targets that may get new work now.
 
         Args:
-            declared: What the tree says of targets.
-            now_seconds: The present time.
-            evacuated: The data centres whose targets get none.
+            declared: The settings of targets in the tree.
+            now_seconds: The current time.
+            evacuated: The data centres whose targets get no new work.
         """
         return {
-            known.target.target_id: _as_declared(declared, known.target)
-            for known in self._known
-            if self.is_live(known, now_seconds)
-            and not _is_drained(declared, known.target.target_id)
-            and known.target.data_centre not in evacuated
-            and not is_in_backoff(self._health[known.target.target_id], now_seconds)
+            entry.target.target_id: _as_declared(declared, entry.target)
+            for entry in self._entries
+            if self.is_live(entry, now_seconds)
+            and not _is_drained(declared, entry.target.target_id)
+            and entry.target.data_centre not in evacuated
+            and not is_in_backoff(self._health[entry.target.target_id], now_seconds)
         }
 
     def live(self, now_seconds: float) -> Sequence[Target]:
-        """Return the targets whose leases run, as they announce themselves."""
-        return [one.target for one in self._known if self.is_live(one, now_seconds)]
+        """Return the targets with valid leases, as they announce themselves."""
+        return [one.target for one in self._entries if self.is_live(one, now_seconds)]
 
     def suspend(self, target_id: str, incarnation: int, now_seconds: float) -> None:
-        """Give a target no new work for a while: a fresh connection to it failed.
+        """Put a target into backoff after a fresh connection to it failed.
 
-        Its lease may run on for seconds, and each request sent there meanwhile
-        would cost an attempt. It gets longer with each failure in a row.
+        Its lease may stay valid for seconds, and each request sent there meanwhile
+        would cost an attempt. The backoff grows with each consecutive failure.
         """
         health = self._health.get(target_id)
         if health is not None and health.incarnation == incarnation:
             self._health[target_id] = record_failure(health, now_seconds)
 
     def record_success(self, target_id: str) -> None:
-        """Take note that a target gave a whole answer."""
+        """Record that a target sent a complete answer."""
         health = self._health.get(target_id)
         if health is not None:
             self._health[target_id] = reset_failures(health)
@@ -166,56 +166,58 @@
     def set_replacement_callback(
         self, callback: Callable[[str, int, float], None]
     ) -> None:
-        """Call back when a target that was known announces a new incarnation."""
+        """Set the callback for a known target that announces a new incarnation."""
         self._on_replaced = callback
 
     def tick(self, now_seconds: float) -> None:
-        """Forget targets that were silent for long, with their numbers."""
-        for known in self._known:
-            silent_seconds = now_seconds - self.expires_at_seconds(known)
-            if (known.is_lapsed or known.target.leaving) and (
+        """Remove long silent targets that lapsed or left, with their numbers."""
+        for entry in self._entries:
+            silent_seconds = now_seconds - self.expires_at_seconds(entry)
+            if (entry.is_lapsed or entry.target.leaving) and (
                 silent_seconds > FORGET_AFTER_SECONDS
             ):
-                self._known.remove(known.target.target_id)
-                self._health.pop(known.target.target_id, None)
+                self._entries.remove(entry.target.target_id)
+                self._health.pop(entry.target.target_id, None)
                 self._digests.clear()
 
     def registered_targets(self) -> Sequence[Target]:
-        """Return all targets ever heard of, with when their leases end."""
+        """Return all targets in the table, with the end of their leases."""
         return [
             replace(
-                known.target, lease_expires_at_seconds=self.expires_at_seconds(known)
+                entry.target, lease_expires_at_seconds=self.expires_at_seconds(entry)
             )
-            for known in self._known
+            for entry in self._entries
         ]
 
 
-def target_from_announcement(news: TargetAnnouncement, now_seconds: float) -> Target:
+def target_from_announcement(
+    announcement: TargetAnnouncement, now_seconds: float
+) -> Target:
     """Return the target that an announcement describes."""
     return Target(
-        target_id=news.target_id,
-        incarnation=news.incarnation,
-        kind=news.kind,
-        serves=news.serves,
-        url=news.url,
-        data_centre=news.data_centre,
-        capacity_slots=news.capacity_slots,
+        target_id=announcement.target_id,
+        incarnation=announcement.incarnation,
+        kind=announcement.kind,
+        serves=announcement.serves,
+        url=announcement.url,
+        data_centre=announcement.data_centre,
+        capacity_slots=announcement.capacity_slots,
         lease_expires_at_seconds=now_seconds
-        + min(news.lease_remaining_seconds, MAX_LEASE_SECONDS),
-        checks_fencing=news.checks_fencing,
-        leaving=news.leaving,
+        + min(announcement.lease_remaining_seconds, MAX_LEASE_SECONDS),
+        checks_fencing=announcement.checks_fencing,
+        leaving=announcement.leaving,
     )
 
 
 def announcement_from_entry(
-    known: RegisteredTarget, now_seconds: float
+    entry: RegisteredTarget, now_seconds: float
 ) -> TargetAnnouncement:
-    """Return the announcement that describes what is known of a target."""
-    target = known.target
+    """Return the announcement that describes an entry."""
+    target = entry.target
     return TargetAnnouncement(
         target_id=target.target_id,
         incarnation=target.incarnation,
-        announcement_sequence=known.announcement_sequence,
+        announcement_sequence=entry.announcement_sequence,
         kind=target.kind,
         serves=target.serves,
         url=target.url,
@@ -228,19 +230,19 @@
 
 
 def _is_drained(declared: Mapping[str, TargetSettings], target_id: str) -> bool:
-    """Return whether the tree takes a target out."""
+    """Return whether the tree drains a target."""
     settings = declared.get(target_id)
     return settings is not None and settings.drain
 
 
 def _as_declared(declared: Mapping[str, TargetSettings], target: Target) -> Target:
-    """Return a target without the models that the tree takes away from it.
+    """Return a target without the models that the tree no longer assigns to it.
 
-    An engine announces a model until it is unloaded. New requests sent there
-    meanwhile would put the end of the last one off for ever.
+    An engine announces a model until it is unloaded, and it is unloaded after its last
+    request. New requests sent there meanwhile would postpone that indefinitely.
     """
     settings = declared.get(target.target_id)
     if settings is None or not settings.models or target.kind is not TargetKind.MODEL:
         return target
-    kept = tuple(model for model in target.serves if model in settings.models)
-    return target if kept == target.serves else replace(target, serves=kept)
+    serves = tuple(model for model in target.serves if model in settings.models)
+    return target if serves == target.serves else replace(target, serves=serves)
--- a/tests/test_target_spread_fuzz.py
+++ b/tests/test_target_spread_fuzz.py
@@ -16,7 +16,10 @@
     TargetRowsRequest,
 )
 from sesameford.tables import TargetKind
-from sesameford.target_replication import VOUCHED_LEASE_SECONDS, make_target_replication
+from sesameford.target_replication import (
+    ATTESTED_LEASE_SECONDS,
+    make_target_replication,
+)
 from sesameford.targets import TargetRegistry
 
 LEASE_SECONDS = 2.0
@@ -151,7 +154,7 @@
     def the_silent_get_no_work(self):
         if not hasattr(self, "nodes"):
             return
-        bound = LEASE_SECONDS + VOUCHED_LEASE_SECONDS + MAX_DELAY_SECONDS
+        bound = LEASE_SECONDS + ATTESTED_LEASE_SECONDS + MAX_DELAY_SECONDS
         for node in self.nodes.values():
             for name in node.registry.usable({}, self.now):
                 target = self.targets[name]
@@ -177,7 +180,7 @@
                     4,
                     LEASE_SECONDS,
                 )
-                self.spreads[at].announced(news, self.now)
+                self.spreads[at].handle_announcement(news, self.now)
         for name in list(self.nodes):
             if self.hubs and name[0] == "r" and self.now >= self.hub_heard_at[name]:
                 self.spreads[name].set_hub("h" + name[1])
