--- a/sesameford/announcements.py
+++ b/sesameford/announcements.py
@@ -1,4 +1,4 @@
-"""The bodies with which targets announce themselves and leave."""
+"""The request bodies with which targets announce themselves and leave."""
 
 from msgspec import Struct, json
 
@@ -26,7 +26,7 @@
 
 
 class LeaveBody(Struct, frozen=True):
-    """The body of a target's leave; other fields are not looked at."""
+    """The body of a target's leave; other fields are ignored."""
 
     target_id: str
     incarnation: int
@@ -40,15 +40,15 @@
 def check_announcement(body: AnnounceBody, lease_limit_seconds: float) -> None:
     """Refuse an announcement whose values are out of range.
 
-    A target that vanishes gets work until its lease ends, so the tree limits how
-    long a lease may be.
+    A target that dies silently gets work until its lease ends, so the tree limits the
+    length of a lease.
 
     Args:
         body: The announcement.
         lease_limit_seconds: The tree's ``fleet.target_lease_seconds``.
 
     Raises:
-        Problem: It names the field.
+        Problem: A field is out of range; the detail names it.
     """
     if body.lease_seconds > lease_limit_seconds:
         allowed = f"at most {lease_limit_seconds:g}, by fleet.target_lease_seconds"
@@ -69,7 +69,7 @@
 
 
 def announcement_from_body(body: AnnounceBody) -> TargetAnnouncement:
-    """Return an announcement as instances pass it on."""
+    """Return the announcement that instances forward to each other."""
     return TargetAnnouncement(
         target_id=body.target_id,
         incarnation=body.incarnation,
--- a/sesameford/codec.py
+++ b/sesameford/codec.py
@@ -17,13 +17,13 @@
     """Return the bytes of an envelope.
 
     Args:
-        envelope: What to send.
+        envelope: The envelope to send.
 
     Returns:
-        Its MessagePack form.
+        Its MessagePack coding.
 
     Raises:
-        PeerError: It is larger than any peer would read, or has a number of more
+        PeerError: The envelope is larger than peers accept, or has a number of more
             than 64 bits.
     """
     try:
@@ -36,32 +36,32 @@
 
 
 def decode_envelope(encoded: bytes) -> Envelope:
-    """Return the envelope in bytes from a peer.
+    """Return the envelope in bytes of a peer.
 
     Args:
-        encoded: Bytes from outside, not trusted.
+        encoded: Untrusted bytes.
 
     Returns:
-        The checked envelope.
+        The validated envelope.
 
     Raises:
-        PeerError: The bytes are no envelope; nothing of them is used.
+        PeerError: The bytes are no valid envelope; no part of it is used.
     """
     if len(encoded) > MAX_ENVELOPE_BYTES:
         raise PeerError(f"an envelope of {len(encoded)} bytes is too large to read")
     try:
         return _decoder.decode(encoded)
     except (DecodeError, ValidationError, UnicodeDecodeError) as error:
-        raise PeerError(f"a peer's bytes are no envelope: {error}") from error
+        raise PeerError(f"invalid envelope from a peer: {error}") from error
 
 
 def encode_message(message: Message) -> bytes:
-    """Return the bytes of a message that another instance passes on unread."""
+    """Return the bytes of a message that hubs relay without decoding it."""
     return _encoder.encode(message)
 
 
 def decode_message(encoded: bytes) -> Message:
-    """Return the message in bytes that were passed on.
+    """Return the message in relayed bytes.
 
     Raises:
         PeerError: The bytes are no message.
@@ -69,4 +69,4 @@
     try:
         return _message_decoder.decode(encoded)
     except (DecodeError, ValidationError, UnicodeDecodeError) as error:
-        raise PeerError(f"passed-on bytes are no message: {error}") from error
+        raise PeerError(f"invalid relayed message: {error}") from error
--- a/sesameford/discovery/__init__.py
+++ b/sesameford/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""How instances and targets find each other without a list of either."""
+"""Discovery of instances and targets without a configured list of either."""
--- a/sesameford/gateway/__init__.py
+++ b/sesameford/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Requests by host and path: routes, placement, forwarding, and the node around."""
+"""Gateway for requests by host and path: routes, placement, forwarding, its node."""
--- a/sesameford/inbox.py
+++ b/sesameford/inbox.py
@@ -1,4 +1,4 @@
-"""Hands each message from another instance to the part that it is for."""
+"""Dispatches messages from other instances to the parts that handle them."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InboxDeps:
-    """The parts of an instance that messages are for."""
+    """The parts of an instance that handle messages."""
 
     members: Members
     targets: TargetReplication
@@ -54,7 +54,7 @@
     tree: TreeHolder
     log: LogService
     outcomes: Outcomes
-    words: OwnerQueries
+    owner_queries: OwnerQueries
     keyed: KeyedRequests
     orders: OrderService
     router: Router
@@ -62,9 +62,11 @@
 
 
 def make_inbox(deps: InboxDeps) -> Callable[[str, int, Message], None]:
-    """Return what takes a message with its sender's id and incarnation."""
+    """Return a handler of messages, with the sender's id and incarnation."""
 
-    def take(sender_id: str, incarnation: int, message: Message) -> None:
+    def handle_message_from_peer(
+        sender_id: str, incarnation: int, message: Message
+    ) -> None:
         now_seconds = deps.now()
         match message:
             case Heartbeat():
@@ -76,15 +78,17 @@
             case SuspectUpdate():
                 deps.outcomes.merge_suspect_update(message, now_seconds)
             case StoredAnswerQuery():
-                deps.words.asked(sender_id, message, deps.keyed)
+                deps.owner_queries.asked(sender_id, message, deps.keyed)
             case StoredAnswer():
-                deps.words.received(message)
+                deps.owner_queries.received(message)
             case ModelUseQuery():
                 deps.orders.handle_model_use_query(sender_id, message)
             case ModelUse():
                 deps.orders.handle_model_use(sender_id, incarnation, message)
             case _ if isinstance(message, _TARGET_MESSAGES):
-                if _take_target_message(deps.targets, sender_id, message, now_seconds):
+                if _handle_target_message(
+                    deps.targets, sender_id, message, now_seconds
+                ):
                     deps.router.tick()
                 deps.send_target_messages()
             case _:
@@ -93,13 +97,13 @@
                 )
                 deps.router.schedule_decision()
 
-    return take
+    return handle_message_from_peer
 
 
-def _take_target_message(
+def _handle_target_message(
     targets: TargetReplication, sender_id: str, message: Message, now_seconds: float
 ) -> bool:
-    """Take news of targets; return whether the table of targets may have changed."""
+    """Handle a message about targets; return whether their table may have changed."""
     match message:
         case TargetAnnouncement():
             targets.handle_announcement(message, now_seconds)
--- a/sesameford/link_key.py
+++ b/sesameford/link_key.py
@@ -7,7 +7,7 @@
 from sesameford.settings import DaemonSettings
 
 MIN_KEY_BYTES = 16
-# With TLS the identity is the certificate's; the seal then only finds damage.
+# With TLS the certificate is the identity, and the seal only detects corruption.
 _TLS_ONLY_KEY = b"sealed-by-tls"
 
 
@@ -15,12 +15,12 @@
     """Return the key of an instance's links.
 
     Args:
-        settings: Name the file of the shared key, or TLS, or have no peers.
+        settings: The settings with a shared key file or TLS, or without peers.
         source: The settings file, for errors.
 
     Raises:
-        SettingsError: The key can't be read or is short, or there are peers and
-            nothing by which to know them.
+        SettingsError: The key can't be read or is too short, or there are peers but
+            neither TLS nor a key to authenticate them.
     """
     if settings.shared_key_file is None:
         if settings.peers and settings.tls is None:
--- a/sesameford/overlay.py
+++ b/sesameford/overlay.py
@@ -1,4 +1,4 @@
-"""The way of messages over the links that there are: directly, or by hubs."""
+"""The overlay network of an instance: messages go over direct links or by hubs."""
 
 import logging
 from collections.abc import Callable, Mapping, Sequence
@@ -20,19 +20,19 @@
 
 logger = logging.getLogger(__name__)
 
-# Own hub, the receiver's hub, and one spare for a change of hubs on the way.
+# The own hub, the receiver's hub, and a spare one for a change of hubs meanwhile.
 MAX_HOPS = 3
-# Messages to all that must reach instances without a link; the other messages to
-# all speak of the link itself or are told on by the module that they are for.
-_FLOODED = (SuspectUpdate,)
+# Broadcasts that must also reach instances without a link. The other broadcasts are
+# about the link itself, or the module that handles them forwards them.
+_BROADCAST_TYPES = (SuspectUpdate,)
 
 
 @dataclass(frozen=True, slots=True)
 class Topology:
     """The links of one instance.
 
-    ``peers`` gives the data centre of each instance that it has a link to, and
-    ``hubs`` those of them that pass on, in the order in which they are tried.
+    ``peers`` maps each instance that it has a link to, to its data centre. ``hubs``
+    are those of them that relay messages, in the order in which they are tried.
     """
 
     instance_id: str
@@ -44,7 +44,7 @@
 
 
 def make_topology(settings: DaemonSettings, incarnation: int) -> Topology:
-    """Return the links that an instance's settings name."""
+    """Return the links named in an instance's settings."""
     return Topology(
         settings.instance_id,
         incarnation,
@@ -56,13 +56,14 @@
 
 
 class Overlay:
-    """Sends to any instance, and passes on what goes by way of this one.
+    """Sends messages to any instance, and relays those of others.
 
     Args:
-        topology: The links that there are.
-        members: Says where instances stand and which hubs live.
-        send: Puts a message on a link.
-        deliver: Takes a message for this instance, with its origin.
+        topology: The links of this instance.
+        members: The data centres of instances, and the live hubs.
+        send: Sends a message on a link.
+        deliver: Handles a message for this instance, with its origin's id and
+            incarnation.
     """
 
     def __init__(
@@ -79,32 +80,42 @@
         self.unroutable_messages = 0
 
     def send(self, outgoing: Outgoing, now_seconds: float) -> None:
-        """Send a message to one instance, or to all where none is named."""
-        here = self._topology
+        """Send a message to one instance, or to all if it names no receiver."""
+        topology = self._topology
         receiver_id = outgoing.receiver_id
-        if receiver_id is None and here.hubs and isinstance(outgoing.message, _FLOODED):
+        if (
+            receiver_id is None
+            and topology.hubs
+            and isinstance(outgoing.message, _BROADCAST_TYPES)
+        ):
             payload = encode_message(outgoing.message)
-            flooded = BroadcastMessage(here.instance_id, here.incarnation, payload)
-            for peer_id in self._flood_to(None):
-                self._send(Outgoing(peer_id, flooded, outgoing.urgent))
-        elif receiver_id is None or receiver_id in here.peers:
+            broadcast = BroadcastMessage(
+                topology.instance_id, topology.incarnation, payload
+            )
+            for peer_id in self._broadcast_receivers(None):
+                self._send(Outgoing(peer_id, broadcast, outgoing.urgent))
+        elif receiver_id is None or receiver_id in topology.peers:
             self._send(outgoing)
         else:
             payload = encode_message(outgoing.message)
-            routed = RelayedMessage(
-                here.instance_id, here.incarnation, receiver_id, MAX_HOPS, payload
+            relayed = RelayedMessage(
+                topology.instance_id,
+                topology.incarnation,
+                receiver_id,
+                MAX_HOPS,
+                payload,
             )
-            self._route(routed, now_seconds)
+            self._route(relayed, now_seconds)
 
     def handle_message(
         self, sender_id: str, incarnation: int, message: Message, now_seconds: float
     ) -> None:
-        """Take a message from a link."""
+        """Handle a message that arrived on a link."""
         match message:
             case RelayedMessage():
-                self._take_routed(message, now_seconds)
+                self._handle_relayed(message, now_seconds)
             case BroadcastMessage():
-                for peer_id in self._flood_to(sender_id):
+                for peer_id in self._broadcast_receivers(sender_id):
                     self._send(Outgoing(peer_id, message, urgent=True))
                 self._unpack(
                     message.origin_id, message.origin_incarnation, message.payload
@@ -117,22 +128,22 @@
                 self._deliver(sender_id, incarnation, message)
 
     def tick(self, now_seconds: float) -> None:
-        """Tell on what changed among the members."""
+        """Propagate changes of the members."""
         for outgoing in self._members.outgoing(self._topology.peers, now_seconds):
             self._send(outgoing)
 
     def live_hub(self, now_seconds: float) -> str | None:
-        """Return the hub that this instance leans on, None for a hub or a mesh."""
-        here = self._topology
-        if here.is_hub:
+        """Return the hub that this instance uses, None on a hub or in a mesh."""
+        topology = self._topology
+        if topology.is_hub:
             return None
-        return self._members.live_hub(here.data_centre, here.hubs, now_seconds)
+        return self._members.live_hub(topology.data_centre, topology.hubs, now_seconds)
 
-    def _take_routed(self, message: RelayedMessage, now_seconds: float) -> None:
-        here = self._topology
-        if message.receiver_id == here.instance_id:
+    def _handle_relayed(self, message: RelayedMessage, now_seconds: float) -> None:
+        topology = self._topology
+        if message.receiver_id == topology.instance_id:
             self._unpack(message.origin_id, message.origin_incarnation, message.payload)
-        elif here.is_hub and message.hops_left > 1:
+        elif topology.is_hub and message.hops_left > 1:
             onward = RelayedMessage(
                 message.origin_id,
                 message.origin_incarnation,
@@ -145,7 +156,7 @@
             self.unroutable_messages += 1
 
     def _route(self, message: RelayedMessage, now_seconds: float) -> None:
-        """Send a message on towards its receiver; without a way it is lost."""
+        """Forward a message towards its receiver; without a route it is dropped."""
         hop_id = self._next_hop(message.receiver_id, now_seconds)
         if hop_id is None:
             self.unroutable_messages += 1
@@ -153,41 +164,43 @@
             self._send(Outgoing(hop_id, message, urgent=True))
 
     def _next_hop(self, receiver_id: str, now_seconds: float) -> str | None:
-        here = self._topology
-        if receiver_id in here.peers:
+        topology = self._topology
+        if receiver_id in topology.peers:
             return receiver_id
-        if not here.is_hub:
+        if not topology.is_hub:
             return self.live_hub(now_seconds)
-        place = self._members.data_centre_of(receiver_id)
-        if place is None or place == here.data_centre:
+        location = self._members.data_centre_of(receiver_id)
+        if location is None or location == topology.data_centre:
             return None
-        return self._members.live_hub(place, here.hubs, now_seconds)
+        return self._members.live_hub(location, topology.hubs, now_seconds)
 
-    def _flood_to(self, sender_id: str | None) -> Sequence[str]:
-        """Return whom to pass a message to all on to.
+    def _broadcast_receivers(self, sender_id: str | None) -> Sequence[str]:
+        """Return the peers to which to send or forward a broadcast.
 
-        Hubs have links to all hubs, so what came from a hub goes to own instances
-        alone. Else it would go round for ever.
+        Hubs have links to all hubs, so a broadcast from a hub goes only to the other
+        instances with a link. Otherwise it would circulate between hubs for ever.
         """
-        here = self._topology
-        if sender_id is not None and not here.is_hub:
+        topology = self._topology
+        if sender_id is not None and not topology.is_hub:
             return ()
-        from_hub = sender_id in here.hubs
+        from_hub = sender_id in topology.hubs
         return [
             peer_id
-            for peer_id in here.peers
-            if peer_id != sender_id and not (from_hub and peer_id in here.hubs)
+            for peer_id in topology.peers
+            if peer_id != sender_id and not (from_hub and peer_id in topology.hubs)
         ]
 
     def _unpack(self, origin_id: str, incarnation: int, payload: bytes) -> None:
         try:
             message = decode_message(payload)
         except PeerError as error:
-            logger.warning("from %s by way of hubs: %s", origin_id, error)
+            logger.warning(
+                "message of %s relayed by hubs refused: %s", origin_id, error
+            )
             return
         if isinstance(message, RelayedMessage | BroadcastMessage):
-            # Unpacked again and again, one message could keep this instance busy
-            # for ever; no instance of ours packs one into another.
+            # Instances never nest relayed messages. Unpacking nested ones could keep
+            # this instance busy for ever.
             self.unroutable_messages += 1
             return
         self._deliver(origin_id, incarnation, message)
--- a/sesameford/peer_state.py
+++ b/sesameford/peer_state.py
@@ -1,4 +1,4 @@
-"""What a link to one peer has seen: order, acknowledgement, silence."""
+"""The state of a link to one peer: order, acknowledgement, silence."""
 
 from dataclasses import dataclass, replace
 
@@ -11,30 +11,32 @@
 class PeerState:
     """Both directions of the link to one peer.
 
-    ``dialled_at_seconds`` is when the present outgoing connection was begun.
+    ``dialled_at_seconds`` is when the current outgoing connection was dialled.
+    ``received_stamp`` and ``acknowledged`` are an incarnation and a sequence: of the
+    newest envelope from the peer, and of the newest one that it acknowledged.
     """
 
     dialled_at_seconds: float
     next_sequence: int = 1
-    heard: tuple[int, int] = (0, 0)
+    received_stamp: tuple[int, int] = (0, 0)
     last_seen_at_seconds: float | None = None
     acknowledged: tuple[int, int] = (0, 0)
     acknowledged_at_seconds: float | None = None
 
 
-def take_envelope(
+def record_envelope(
     state: PeerState, envelope: Envelope, own_incarnation: int, now_seconds: float
 ) -> PeerState | None:
-    """Return the state after an envelope, or None where it is old or doubled.
+    """Return the state after an envelope, or None if it is outdated or a duplicate.
 
-    A transport that reconnects by itself may deliver an envelope twice, or one of
-    a dead incarnation after one of its successor. Its messages carry totals, so an
-    old one would set totals back; only a rising pair is let through.
+    A transport that reconnects by itself may deliver an envelope twice, or one of a
+    dead incarnation after one of its successor. Messages carry totals, which an old
+    envelope would set back, so only a growing pair of the two numbers is accepted.
     """
     stamp = (envelope.incarnation, envelope.sequence)
-    if stamp <= state.heard:
+    if stamp <= state.received_stamp:
         return None
-    state = replace(state, heard=stamp, last_seen_at_seconds=now_seconds)
+    state = replace(state, received_stamp=stamp, last_seen_at_seconds=now_seconds)
     is_newer = envelope.acknowledged > state.acknowledged
     if envelope.acknowledged[0] == own_incarnation and is_newer:
         state = replace(
@@ -50,14 +52,13 @@
     now_seconds: float,
     redial_after_seconds: float = REDIAL_AFTER_SECONDS,
 ) -> bool:
-    """Return whether the outgoing connection is to be given up for a new one.
+    """Return whether the outgoing connection is to be replaced by a new one.
 
-    A flow that a box between the two ends has forgotten stays open and silent for
-    good, while new connections work. One notices that nothing sent is acknowledged
-    any more. A fresh connection is the only cure, and harmless where the peer is
-    simply down.
+    A connection that a middlebox has lost track of stays open and silent for good,
+    while new connections work. The sign is that nothing sent is acknowledged any more.
+    Only a fresh connection helps, and it is harmless if the peer is simply down.
     """
-    last_sign_seconds = max(
+    last_sign_at_seconds = max(
         state.dialled_at_seconds, state.acknowledged_at_seconds or 0.0
     )
-    return now_seconds - last_sign_seconds > redial_after_seconds
+    return now_seconds - last_sign_at_seconds > redial_after_seconds
--- a/sesameford/peers.py
+++ b/sesameford/peers.py
@@ -1,8 +1,8 @@
-"""Links between instances: pynng over TCP, one pushing socket a peer.
+"""Links between instances: pynng over TCP, one push socket for each peer.
 
-Every link is treated as one that loses, doubles and reorders. Messages that are
-not urgent leave together a few times a second, because a send costs far more
-processor time than the bytes in it.
+Every link may lose, duplicate and reorder messages. Messages that are not urgent are
+sent in batches a few times a second, because a send costs far more processor time than
+the bytes in it.
 """
 
 import asyncio
@@ -22,8 +22,8 @@
 from sesameford.peer_state import (
     REDIAL_AFTER_SECONDS,
     PeerState,
+    record_envelope,
     should_redial,
-    take_envelope,
 )
 from sesameford.settings import DaemonSettings, Peer
 from sesameford.tls import TlsFiles, make_dialler_config, make_listener_config
@@ -33,36 +33,36 @@
 FLUSH_SECONDS = 0.25
 URGENT_FLUSH_SECONDS = 0.005
 SEND_BUFFER_MESSAGES = 64
-# A link on which nothing was acknowledged for so long may not be connected. Peers speak
-# some ten times a second while there is anything to say.
+# A link without an acknowledgement for this long may not be connected. Peers send some
+# ten envelopes a second while there is anything to send.
 SILENT_LINK_SECONDS = 0.3
-# Who has not answered at all is dialled anew this often for so long after the start:
-# more than a machine takes longer to start than the first one.
-FIRST_REDIAL_SECONDS = 0.15
-HURRY_SECONDS = 3.0
-# A link is tried again after so long, at first and at most. After a loss of all power
-# the last machine to start is found within the latter.
+# Interval and period after the start in which peers without any answer are redialled.
+# The period is longer than the difference between the start times of machines.
+START_REDIAL_INTERVAL_SECONDS = 0.15
+START_REDIAL_PERIOD_SECONDS = 3.0
+# The minimum and maximum delay before a link is connected again. After a power loss of
+# all machines the last one to start is found within the maximum.
 RECONNECT_MIN_MS = 50
 RECONNECT_MAX_MS = 200
-# Messages that are read in one turn of the loop: what the replica of 75 routers gets in
-# a tenth of a second.
-RECEIVED_AT_ONCE = 64
-# What the network carries around one message: the length that nng puts before it,
-# the headers of IP and TCP with its time stamps, and the segment that acknowledges.
+# Messages read in one turn of the event loop: as many as the replica of 75 routers
+# receives in a tenth of a second.
+MAX_MESSAGES_PER_TURN = 64
+# The network's overhead for one message: nng's length prefix, the headers of IP and of
+# TCP with time stamps, and the segment of the acknowledgement.
 WIRE_HEADER_BYTES = 8 + 52 + 52
-# A keyed digest cut to 128 bits is as hard to forge as needed, and half as long.
+# A keyed digest truncated to 128 bits is hard enough to forge, at half the length.
 MAC_BYTES = 16
 
 OnMessage = Callable[[str, int, Message], None]
 
 
 def seed_peer_id(address: str) -> str:
-    """Return what a link is called while only the address of its end is known."""
+    """Return the id of a link to a seed whose instance id is still unknown."""
     return f"seed@{address}"
 
 
 def seal(key: bytes, payload: bytes) -> bytes:
-    """Return a payload behind its keyed digest."""
+    """Return a payload with its keyed digest as a prefix."""
     return hmac.digest(key, payload, sha256)[:MAC_BYTES] + payload
 
 
@@ -70,12 +70,14 @@
     """Return the payload of sealed bytes.
 
     Raises:
-        PeerError: The digest is not of this key; the sender is no peer.
+        PeerError: The digest doesn't match this key; the sender is no peer.
     """
     digest, payload = sealed[:MAC_BYTES], sealed[MAC_BYTES:]
     expected = hmac.digest(key, payload, sha256)[:MAC_BYTES]
     if not hmac.compare_digest(digest, expected):
-        raise PeerError("a message without the deployment's key was refused")
+        raise PeerError(
+            "refused a message that is not sealed with the deployment's key"
+        )
     return payload
 
 
@@ -108,27 +110,27 @@
         self._tasks: list[asyncio.Task[None]] = []
         self._urgent: asyncio.TimerHandle | None = None
         self._is_stopping = False
-        self._hurries_until_seconds = now() + HURRY_SECONDS
+        self._start_redial_until_seconds = now() + START_REDIAL_PERIOD_SECONDS
         self.sent_bytes = 0
         self.received_bytes = 0
         self.refused_messages = 0
 
     def peer_ids(self) -> list[str]:
-        """Return whom there are links to, seeds without a known id among them."""
+        """Return the ids of all links, including seeds whose instance id is unknown."""
         return list(self._peers)
 
     def add(self, peer: Peer) -> None:
-        """Begin a link to an instance that became known, or to its new address.
+        """Open a link to a discovered instance, or to its new address.
 
-        A seed is known by its address before it has told its id; the link that was
-        begun under the address goes on under the id.
+        A seed is identified by its address until it has sent its id. The link that was
+        opened under the address continues under the id.
         """
-        known = self._peers.get(peer.instance_id)
-        if known is not None and known.peers == peer.peers:
+        old_peer = self._peers.get(peer.instance_id)
+        if old_peer is not None and old_peer.peers == peer.peers:
             self._peers[peer.instance_id] = peer
             return
         seed_id = seed_peer_id(peer.peers)
-        if known is None and seed_id in self._peers:
+        if old_peer is None and seed_id in self._peers:
             self._rename(seed_id, peer)
             return
         self._peers[peer.instance_id] = peer
@@ -138,39 +140,39 @@
             self._dial(peer)
 
     def redial_if_silent(self, peer_id: str) -> None:
-        """Dial a peer anew that has just shown that it runs.
+        """Redial a peer that has just shown that it runs, if its link is silent.
 
-        A machine without power answers no attempt to connect, and the attempt is
-        repeated only after a second. One that was begun before the machine came back
-        would keep silent for so long, while a new one succeeds at once.
+        A machine without power answers no connection attempt, and the attempt is
+        repeated only after a second. An attempt from before the machine came back would
+        stay silent for that long, while a new one succeeds at once.
         """
         state = self._states.get(peer_id)
         if state is None or self._listener is None:
             return
-        last_sign_seconds = state.acknowledged_at_seconds or float("-inf")
-        if self._now() - last_sign_seconds > SILENT_LINK_SECONDS:
+        acknowledged_at_seconds = state.acknowledged_at_seconds or float("-inf")
+        if self._now() - acknowledged_at_seconds > SILENT_LINK_SECONDS:
             self._dial(self._peers[peer_id])
 
     def redial_silent_peers(self, now_seconds: float) -> list[str]:
-        """Dial anew, soon after the start, who has not answered yet; return whom.
+        """Redial, soon after the start, peers without any answer; return their ids.
 
-        After a loss of all power the machines come back one after another, and this
-        one can't know when; see ``redial_if_silent``.
+        After a power loss the machines come back one after another, at times that this
+        instance can't know; see ``redial_if_silent``.
         """
-        if self._listener is None or now_seconds > self._hurries_until_seconds:
+        if self._listener is None or now_seconds > self._start_redial_until_seconds:
             return []
-        unheard = [
+        silent_peers = [
             peer_id
             for peer_id, state in self._states.items()
             if state.acknowledged_at_seconds is None
-            and now_seconds - state.dialled_at_seconds > FIRST_REDIAL_SECONDS
+            and now_seconds - state.dialled_at_seconds > START_REDIAL_INTERVAL_SECONDS
         ]
-        for peer_id in unheard:
+        for peer_id in silent_peers:
             self._dial(self._peers[peer_id])
-        return unheard
+        return silent_peers
 
     def remove(self, peer_id: str) -> None:
-        """End the link to an instance that is gone."""
+        """Close the link to an instance that is gone."""
         self._peers.pop(peer_id, None)
         self._states.pop(peer_id, None)
         self._pending.pop(peer_id, None)
@@ -179,11 +181,14 @@
             socket.close()
 
     def raise_incarnation(self, above: int) -> bool:
-        """Count as newer than an earlier process of this instance.
+        """Raise the incarnation above that of an earlier process of this instance.
+
+        The time of day may have been set back between the two starts. Peers would then
+        discard all messages of this process as older than its predecessor's and treat
+        it as dead. So they send it the highest incarnation that they have received.
 
-        The time of day may have been set back between the two starts. Peers would
-        then take all that this process sends as said before its predecessor's end,
-        and it would be dead to them; so they tell it the number that they know.
+        Returns:
+            Whether the incarnation was raised.
         """
         if above <= self._incarnation:
             return False
@@ -199,7 +204,7 @@
             self._sockets[peer.instance_id] = self._sockets.pop(seed_id)
 
     async def start(self) -> None:
-        """Listen, dial every peer and begin to send batches.
+        """Listen, dial every peer and start to send batches.
 
         Raises:
             PeerError: The address can't be listened on.
@@ -213,7 +218,7 @@
         ]
 
     async def stop(self) -> None:
-        """Send what is pending and close all sockets."""
+        """Send pending messages and close all sockets."""
         self.flush()
         await asyncio.sleep(URGENT_FLUSH_SECONDS)
         self._is_stopping = True
@@ -226,7 +231,7 @@
             self._listener.close()
 
     def send(self, outgoing: Outgoing) -> None:
-        """Put a message into the next batch, or send at once if it is urgent."""
+        """Add a message to the next batch, or send it at once if it is urgent."""
         receivers = (
             list(self._peers)
             if outgoing.receiver_id is None
@@ -255,7 +260,7 @@
             sender_id=self._settings.instance_id,
             incarnation=self._incarnation,
             sequence=state.next_sequence,
-            acknowledged=state.heard,
+            acknowledged=state.received_stamp,
             messages=messages,
         )
         self._states[peer_id] = replace(state, next_sequence=state.next_sequence + 1)
@@ -264,9 +269,9 @@
             self._sockets[peer_id].send(sealed, block=False)
             self.sent_bytes += len(sealed) + WIRE_HEADER_BYTES
         except TryAgain:
-            # The peer reads nothing: it is down or cut off. What waits for it is
-            # dropped, since totals of a later time will say all of it again.
-            logger.debug("peer %s takes no messages", peer_id)
+            # The peer is down or isolated. The messages are dropped, since later
+            # messages carry the newer totals.
+            logger.debug("send buffer of peer %s is full", peer_id)
         except (NNGException, PeerError) as error:
             logger.warning("could not send to peer %s: %s", peer_id, error)
 
@@ -283,7 +288,7 @@
         return listener
 
     def reload_tls(self, files: TlsFiles) -> None:
-        """Listen and dial anew under a new identity; messages between are lost."""
+        """Listen and redial under a new identity; messages in between are lost."""
         self._tls = files
         old, self._listener = self._listener, None
         if old is not None:
@@ -321,67 +326,68 @@
         self._states[peer.instance_id] = replace(state, dialled_at_seconds=self._now())
 
     async def _receive(self) -> None:
-        # A message that arrives in the turn of the cancellation makes the library
-        # return it and forget the cancellation. The stop would wait for this task
-        # for ever, and an instance that has finished all its work never end.
+        # If a message arrives in the same turn as the cancellation, the library returns
+        # it and drops the cancellation. Without the flag, the stop would wait for this
+        # task for ever, and an instance that has finished its work would never exit.
         while not self._is_stopping:
             assert self._listener is not None
             try:
                 sealed = await self._listener.arecv()
             except NNGException as error:
-                logger.warning("receiving from peers was broken off: %s", error)
+                logger.warning("receiving from peers failed: %s", error)
                 await asyncio.sleep(URGENT_FLUSH_SECONDS)
                 continue
-            self._open(sealed)
-            self._receive_waiting()
+            self._handle_sealed(sealed)
+            self._drain_received()
 
-    def _receive_waiting(self) -> None:
-        """Take what else has come, without another turn of the loop for each.
+    def _drain_received(self) -> None:
+        """Handle further received messages without a turn of the loop for each.
 
-        Waiting for a message takes some turns. At an instance that a flood keeps busy
-        a turn takes tens of milliseconds, so that messages would come in faster than
-        they are read, and it would hear of targets that leave seconds too late.
+        Waiting for a message takes some turns. At an overloaded instance a turn takes
+        tens of milliseconds, so messages would arrive faster than they are read, and
+        targets that leave would be noticed seconds too late.
         """
-        for _ in range(RECEIVED_AT_ONCE):
+        for _ in range(MAX_MESSAGES_PER_TURN):
             assert self._listener is not None
             try:
                 sealed = self._listener.recv(block=False)
             except TryAgain:
                 return
             except NNGException as error:
-                logger.warning("receiving from peers was broken off: %s", error)
+                logger.warning("receiving from peers failed: %s", error)
                 return
-            self._open(sealed)
+            self._handle_sealed(sealed)
 
-    def _open(self, sealed: bytes) -> None:
+    def _handle_sealed(self, sealed: bytes) -> None:
         self.received_bytes += len(sealed) + WIRE_HEADER_BYTES
         try:
-            self._take(decode_envelope(unseal(self._key, sealed)))
+            self._handle_envelope(decode_envelope(unseal(self._key, sealed)))
         except PeerError as error:
             self.refused_messages += 1
             logger.warning("%s", error)
 
-    def _greeted(self, envelope: Envelope) -> PeerState:
-        """Begin a link back to an instance that found this one by a seed.
+    def _add_peer_from_hello(self, envelope: Envelope) -> PeerState:
+        """Open a link back to an instance that found this one by a seed.
 
         Raises:
-            PeerError: It does not say who it is, or nobody may come unasked.
+            PeerError: The envelope has no hello, or this instance has no seeds and so
+                accepts only configured peers.
         """
         for message in envelope.messages:
             if isinstance(message, Hello) and self._settings.seeds:
                 self.add(peer_from_hello(envelope.sender_id, message))
                 return self._states[envelope.sender_id]
-        raise PeerError(f"{envelope.sender_id!r} is no peer of this instance")
+        raise PeerError(f"{envelope.sender_id!r} is not a peer of this instance")
 
-    def _take(self, envelope: Envelope) -> None:
+    def _handle_envelope(self, envelope: Envelope) -> None:
         state = self._states.get(envelope.sender_id)
         if state is None:
-            state = self._greeted(envelope)
-        if envelope.incarnation < state.heard[0]:
-            behind = StaleIncarnation(state.heard[0])
-            self.send(Outgoing(envelope.sender_id, behind, urgent=True))
+            state = self._add_peer_from_hello(envelope)
+        if envelope.incarnation < state.received_stamp[0]:
+            stale = StaleIncarnation(state.received_stamp[0])
+            self.send(Outgoing(envelope.sender_id, stale, urgent=True))
             return
-        new_state = take_envelope(state, envelope, self._incarnation, self._now())
+        new_state = record_envelope(state, envelope, self._incarnation, self._now())
         if new_state is None:
             return
         self._states[envelope.sender_id] = new_state
@@ -389,4 +395,4 @@
             try:
                 self._on_message(envelope.sender_id, envelope.incarnation, message)
             except Exception:
-                logger.exception("a message of %s failed", envelope.sender_id)
+                logger.exception("handling a message of %s failed", envelope.sender_id)
--- a/sesameford/probes.py
+++ b/sesameford/probes.py
@@ -1,23 +1,23 @@
-"""A fresh connection as the probe of a target."""
+"""Probes of targets by fresh connections."""
 
 import asyncio
 from urllib.parse import urlsplit
 
 from sesameford.silence import PROBE_TIMEOUT_SECONDS, Probe
 
-HANG_UP_SECONDS = 0.1
+CLOSE_WAIT_SECONDS = 0.1
 
 
 async def probe_target(url: str) -> Probe:
-    """Connect to a target anew and see whether anyone listens.
+    """Probe with a fresh connection whether a target accepts connections.
 
     Args:
         url: The target's address.
 
     Returns:
-        ``REFUSED`` where nobody listens, or where the connection is taken and ended
-        at once, as a forwarder before a dead target does. Where nothing comes back
-        the network may be cut just as well.
+        ``REFUSED`` if the connection is refused, or accepted and closed at once, as a
+        proxy in front of a dead target does. ``NO_ANSWER`` may also mean that the
+        network is partitioned.
     """
     parts = urlsplit(url)
     port = parts.port or (443 if parts.scheme == "https" else 80)
@@ -29,8 +29,8 @@
     except (TimeoutError, OSError):
         return Probe.NO_ANSWER
     try:
-        # Nothing is sent, so that a probe never is a request to a target.
-        async with asyncio.timeout(HANG_UP_SECONDS):
+        # Nothing is sent, so that the target never sees a request in a probe.
+        async with asyncio.timeout(CLOSE_WAIT_SECONDS):
             await reader.read(1)
     except TimeoutError:
         return Probe.ALIVE
--- a/sesameford/target_connections.py
+++ b/sesameford/target_connections.py
@@ -1,4 +1,4 @@
-"""Connections to targets that are kept: never one with bytes that nobody asked for."""
+"""Pooled connections to targets; one with unsolicited bytes is never reused."""
 
 from functools import partial
 from ssl import SSLContext
@@ -14,15 +14,15 @@
 
 
 class WholeAnswerHandler(ResponseHandler):
-    """Takes an answer as whole only if its connection ended in order.
+    """Accepts an answer as complete only if its connection was closed in order.
 
-    An answer without a length ends with its connection. The library takes any end
-    for it, also a reset in the middle of the body. The caller would get a part of
-    the answer, framed as if it were all of it.
+    An answer without a length ends with its connection. The library accepts any end,
+    even a reset in the middle of the body. The caller would get a part of the answer,
+    framed as if it were complete.
     """
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Mark a body that was under way as broken before the library ends it."""
+        """Mark an incomplete body as broken before the library ends it."""
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
             payload.set_exception(ClientPayloadError(f"reset: {exc}"))
@@ -30,10 +30,10 @@
 
 
 class CleanConnector(TCPConnector):
-    """Hands out kept connections on which nothing has come since the last answer.
+    """Reuses connections only if no bytes have arrived since the last answer.
 
-    A target may send a second answer after a complete one. It lies on the connection
-    when the next request takes it, and would be read as that request's answer.
+    A target may send a second answer after a complete one. Its bytes would be read as
+    the answer to the next request on that connection.
     """
 
     async def _get(
@@ -49,14 +49,14 @@
 
 
 def make_connector(ssl: SSLContext | bool, idle_seconds: float) -> TCPConnector:
-    """Return a connector that keeps connections; to be called on the running loop.
+    """Return a connector with a connection pool; call it on the running loop.
 
     Args:
-        ssl: A context for TLS, or True for none of one's own.
-        idle_seconds: For how long one is kept without an exchange.
+        ssl: A context for TLS, or True for the default one.
+        idle_seconds: How long an idle connection stays in the pool.
     """
     connector = CleanConnector(limit=0, ssl=ssl, keepalive_timeout=idle_seconds)
-    # The library has no public way to choose the protocol of its connections.
+    # The library has no public way to set the protocol of its connections.
     connector._factory = cast(
         "partial[ResponseHandler]", partial(WholeAnswerHandler, loop=connector._loop)
     )
--- a/sesameford/tls.py
+++ b/sesameford/tls.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsFiles:
-    """The texts of an instance's identity and of the authority it trusts."""
+    """The PEM texts of an instance's identity and of the authority it trusts."""
 
     authority: str
     certificate: str
@@ -24,14 +24,14 @@
 
 
 def read_files(tls: Tls, source: str) -> TlsFiles:
-    """Read and check the files that the settings name.
+    """Read and check the files named in the settings.
 
     Args:
-        tls: Their paths.
+        tls: The paths of the files.
         source: The settings file, for errors.
 
     Raises:
-        SettingsError: One can't be read, or certificate and key don't fit.
+        SettingsError: A file can't be read, or certificate and key don't match.
     """
     try:
         files = TlsFiles(
@@ -49,9 +49,9 @@
 
 
 def make_server_context(tls: Tls) -> ssl.SSLContext:
-    """Return a context for listeners of HTTP, which asks for no certificate.
+    """Return a context for HTTP listeners, which requests no client certificate.
 
-    Callers, operators and targets show who they are by their keys.
+    Callers, operators and targets authenticate with their keys.
     """
     context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
     context.load_cert_chain(tls.certificate_file, tls.key_file)
@@ -68,7 +68,7 @@
 
 
 def make_listener_config(files: TlsFiles) -> TLSConfig:
-    """Return what a listener for peers needs: it refuses a peer without identity."""
+    """Return the TLS settings of a listener that requires certificates of peers."""
     return TLSConfig(
         TLSConfig.MODE_SERVER,
         ca_string=files.authority,
@@ -79,10 +79,10 @@
 
 
 def make_dialler_config(files: TlsFiles, peer_id: str) -> TLSConfig:
-    """Return what a connection to a peer needs.
+    """Return the TLS settings of a connection to a peer.
 
-    The peer's certificate must be in the name of its instance id. Otherwise any
-    instance, or who holds one instance's key, could listen in another's place.
+    The peer's certificate must be issued to its instance id. Otherwise any instance, or
+    a thief of one instance's key, could impersonate another at its address.
     """
     return TLSConfig(
         TLSConfig.MODE_CLIENT,
@@ -98,21 +98,21 @@
     tls: Tls,
     source: str,
     contexts: tuple[ssl.SSLContext, ...],
-    changed: Callable[[TlsFiles], None],
+    on_change: Callable[[TlsFiles], None],
 ) -> Callable[[], None]:
-    """Return a function that takes new files into force when they have changed.
+    """Return a function that reloads the files when they have changed.
 
     Args:
-        tls: The files to look at.
+        tls: The paths of the files.
         source: The settings file, for errors.
-        contexts: Get the new certificate in place, for new connections.
-        changed: Told of the new files, to redial links between instances.
+        contexts: Contexts that load the new certificate, for new connections.
+        on_change: Called with the new files, to redial links between instances.
 
     Returns:
-        A function to call now and then. Files that don't fit together, as while
-        only one of two is replaced, are logged and left alone.
+        A function to call periodically. Files that don't match, as while only one of
+        two is replaced, are logged and not used.
     """
-    seen = [read_files(tls, source)]
+    loaded = [read_files(tls, source)]
 
     def reload() -> None:
         try:
@@ -120,12 +120,12 @@
         except SettingsError as error:
             logger.warning("the old TLS files stay in force: %s", error)
             return
-        if files == seen[0]:
+        if files == loaded[0]:
             return
-        seen[0] = files
+        loaded[0] = files
         for context in contexts:
             context.load_cert_chain(tls.certificate_file, tls.key_file)
         logger.info("new TLS files are in force")
-        changed(files)
+        on_change(files)
 
     return reload
