--- a/tests/authority.py
+++ b/tests/authority.py
@@ -1,4 +1,4 @@
-"""Makes a deployment's own authority and identities for tests."""
+"""A deployment's own certificate authority and identities for tests."""
 
 from datetime import datetime
 from ipaddress import ip_address
@@ -24,7 +24,7 @@
 
 
 class Authority:
-    """One authority; its identities are written below a folder."""
+    """A certificate authority that writes its identities below a folder."""
 
     def __init__(self, folder: Path, name: str) -> None:
         self.folder = folder / name
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Envelopes survive the wire, and bytes that are none are refused."""
+"""The coding of envelopes: round trips, and refusal of invalid bytes."""
 
 import pytest
 from hypothesis import given, settings
@@ -73,10 +73,10 @@
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(ENVELOPES, st.data())
-def test_an_envelope_changed_on_the_way_is_read_or_refused(envelope, data):
-    """A peer of another version, or one gone wrong, sends what is nearly a message.
+def test_a_corrupted_envelope_is_decoded_or_refused(envelope, data):
+    """A peer of another version, or a faulty one, sends bytes that resemble a message.
 
-    Any other error than the refusal would end the task that hears all peers.
+    Any error other than the refusal would end the task that receives from all peers.
     """
     encoded = bytearray(encode_envelope(envelope))
     assert decode_envelope(bytes(encoded)) == envelope
@@ -90,9 +90,9 @@
 
 
 def test_a_number_that_no_peer_could_read_is_refused():
-    """A counter goes wrong and grows beyond 64 bits.
+    """A faulty counter grows beyond 64 bits.
 
-    An error of the coding library's own would end the task that sends all batches.
+    An error of the coding library would end the task that sends all batches.
     """
     with pytest.raises(PeerError):
         encode_envelope(Envelope("e1", 2**70, 1, (0, 0), ()))
--- a/tests/test_peers_stop.py
+++ b/tests/test_peers_stop.py
@@ -1,4 +1,4 @@
-"""The links of an instance end when they are told to, and keep up with their peers."""
+"""The links of an instance stop on request, and keep up with their peers."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 from sesameford.peers import PeerLinks
 from sesameford.settings import parse_settings
 
-TURNS_A_MESSAGE = 3
+TURNS_PER_MESSAGE = 3
 SETTINGS = """
 instance_id: e1
 data_centre: a
@@ -39,13 +39,13 @@
 
 
 class _ListenerWithWaitingMessages:
-    """A socket on which messages wait; waiting for one takes some turns of the loop."""
+    """A socket with waiting messages; an await for one takes some turns of the loop."""
 
     def __init__(self, waiting: int) -> None:
         self._waiting = waiting
 
     async def arecv(self) -> bytes:
-        for _ in range(TURNS_A_MESSAGE):
+        for _ in range(TURNS_PER_MESSAGE):
             await asyncio.sleep(0)
         return self.recv(block=False)
 
@@ -56,12 +56,11 @@
         return b"no envelope"
 
 
-async def test_a_message_at_the_moment_of_the_stop_does_not_hold_it_up():
+async def test_a_message_during_the_cancellation_does_not_block_the_stop():
     """An instance is stopped just as a peer's message arrives.
 
-    The library hands the message out and drops the cancellation, so the receiving
-    task goes on. The operator sees a process that has finished all its requests and
-    never ends.
+    The library returns the message and drops the cancellation, so the receiving task
+    continues. The process has finished all its requests and never exits.
     """
     links = PeerLinks(
         parse_settings(SETTINGS, "e1.yaml"), 1, b"key", lambda *_: None, lambda: 0.0
@@ -72,18 +71,18 @@
     await asyncio.wait_for(links.stop(), timeout=2.0)
 
 
-async def test_messages_are_read_as_fast_as_they_come_while_the_loop_is_slow():
-    """One caller floods an instance, so that each turn of its loop takes long.
+async def test_waiting_messages_are_read_in_one_turn_of_the_loop():
+    """A caller overloads an instance, so that each turn of its loop takes long.
 
-    Read one at a time, with some turns for each, its peers' messages would wait for
-    seconds; requests would go on to targets that had said that they leave.
+    Read one at a time, with some turns for each, the messages of peers would wait for
+    seconds, and requests would be sent to targets that have already left.
     """
     links = PeerLinks(
         parse_settings(SETTINGS, "e1.yaml"), 1, b"key", lambda *_: None, lambda: 0.0
     )
     links._listener = _ListenerWithWaitingMessages(50)
     receiving = asyncio.create_task(links._receive())
-    for _ in range(TURNS_A_MESSAGE + 2):
+    for _ in range(TURNS_PER_MESSAGE + 2):
         await asyncio.sleep(0)
     receiving.cancel()
     links._is_stopping = True
--- a/tests/test_target_spread_fuzz.py
+++ b/tests/test_target_spread_fuzz.py
@@ -1,4 +1,4 @@
-"""Targets over a lossy fleet: the dead and the gone get no work, the living do."""
+"""Targets in a fleet with message loss: only live targets get work."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -32,7 +32,7 @@
 
 @dataclass
 class FakeTarget:
-    """A target as it truly is; ``silent_since`` is its last announcement or leave."""
+    """A target's real state; ``silent_since`` is its last announcement or leave."""
 
     incarnation: int = 0
     sequence: int = 0
@@ -42,7 +42,7 @@
 
 
 @dataclass
-class Node:
+class Instance:
     registry: TargetRegistry = field(default_factory=TargetRegistry)
     incarnation: int = 1
 
@@ -60,33 +60,33 @@
         self.wire = []
         self.targets = {name: FakeTarget() for name in TARGETS}
         self.starts = 0
-        self.hub_heard_at = {}
-        self.nodes = {}
-        self.spreads = {}
+        self.hub_reachable_at = {}
+        self.instances = {}
+        self.replications = {}
         for name in ("h0", "h1", "r0", "r1"):
             self.start(name)
 
     def start(self, name):
         self.starts += 1
-        self.nodes[name] = Node(incarnation=self.starts * 1000)
+        self.instances[name] = Instance(incarnation=self.starts * 1000)
         is_hub = self.hubs and name in ("h0", "h1")
-        spread = make_target_replication(
-            self.nodes[name].registry,
+        replication = make_target_replication(
+            self.instances[name].registry,
             name,
-            self.nodes[name].incarnation,
+            self.instances[name].incarnation,
             is_hub,
             {"h0", "h1"} - {name} if self.hubs else (),
         )
-        # An instance that has just started does not yet hear its hub.
-        self.hub_heard_at[name] = self.now + self.random.choice((0.5, 1.0, 3.0))
-        self.spreads[name] = spread
+        # An instance that has just started has not yet received from its hub.
+        self.hub_reachable_at[name] = self.now + self.random.choice((0.5, 1.0, 3.0))
+        self.replications[name] = replication
 
     def peers(self, name):
         if not self.hubs:
-            return [one for one in self.nodes if one != name]
+            return [one for one in self.instances if one != name]
         if name.startswith("r"):
             return ["h" + name[1]]
-        return [one for one in self.nodes if one[0] == "h" and one != name] + [
+        return [one for one in self.instances if one[0] == "h" and one != name] + [
             "r" + name[1]
         ]
 
@@ -117,8 +117,8 @@
             return
         target.is_up = False
         target.sequence += 1
-        at = self.random.choice(sorted(self.nodes))
-        self.spreads[at].handle_leave(
+        at = self.random.choice(sorted(self.instances))
+        self.replications[at].handle_leave(
             name, target.incarnation, target.sequence, self.now
         )
         self.flush(at)
@@ -140,23 +140,25 @@
         self.cut, self.loss = frozenset(), 0.0
         for _ in range(int(SETTLE_SECONDS / STEP_SECONDS)):
             self.step()
-        for node_name, node in self.nodes.items():
-            # Not ``usable``: that also holds back a target which restarts often, as
-            # each router sees it, and so may differ between routers by design.
+        for instance_name, instance in self.instances.items():
+            # Not ``usable``: that also leaves out targets that are in backoff after
+            # frequent restarts, which may differ between routers by design.
             for name, target in self.targets.items():
-                known = node.registry.get(name)
-                is_live = known is not None and node.registry.is_live(known, self.now)
-                assert is_live == target.is_up, (node_name, name)
-                if known is not None and is_live:
-                    assert known.target.incarnation == target.incarnation
+                entry = instance.registry.get(name)
+                is_live = entry is not None and instance.registry.is_live(
+                    entry, self.now
+                )
+                assert is_live == target.is_up, (instance_name, name)
+                if entry is not None and is_live:
+                    assert entry.target.incarnation == target.incarnation
 
     @invariant()
     def the_silent_get_no_work(self):
-        if not hasattr(self, "nodes"):
+        if not hasattr(self, "instances"):
             return
         bound = LEASE_SECONDS + ATTESTED_LEASE_SECONDS + MAX_DELAY_SECONDS
-        for node in self.nodes.values():
-            for name in node.registry.usable({}, self.now):
+        for instance in self.instances.values():
+            for name in instance.registry.usable({}, self.now):
                 target = self.targets[name]
                 silent = self.now - target.silent_since
                 assert target.is_up or silent <= bound, (name, silent)
@@ -168,8 +170,8 @@
                 target.sequence += 1
                 target.next_announcement = self.now + ANNOUNCE_SECONDS
                 target.silent_since = self.now
-                at = self.random.choice(sorted(self.nodes))
-                news = TargetAnnouncement(
+                at = self.random.choice(sorted(self.instances))
+                announcement = TargetAnnouncement(
                     name,
                     target.incarnation,
                     target.sequence,
@@ -180,10 +182,10 @@
                     4,
                     LEASE_SECONDS,
                 )
-                self.spreads[at].handle_announcement(news, self.now)
-        for name in list(self.nodes):
-            if self.hubs and name[0] == "r" and self.now >= self.hub_heard_at[name]:
-                self.spreads[name].set_hub("h" + name[1])
+                self.replications[at].handle_announcement(announcement, self.now)
+        for name in list(self.instances):
+            if self.hubs and name[0] == "r" and self.now >= self.hub_reachable_at[name]:
+                self.replications[name].set_hub("h" + name[1])
             self.flush(name)
         due = [item for item in self.wire if item[0] <= self.now]
         self.wire = [item for item in self.wire if item[0] > self.now]
@@ -192,7 +194,7 @@
                 self.deliver(sender, receiver, message)
 
     def flush(self, name):
-        for outgoing in self.spreads[name].collect_outgoing(self.now):
+        for outgoing in self.replications[name].collect_outgoing(self.now):
             peers = self.peers(name)
             if outgoing.receiver_id is not None:
                 peers = [one for one in peers if one == outgoing.receiver_id]
@@ -205,20 +207,20 @@
                         self.wire.append(item)
 
     def deliver(self, sender, receiver, message):
-        spread = self.spreads[receiver]
+        replication = self.replications[receiver]
         match message:
             case TargetAnnouncement():
-                spread.handle_announcement(message, self.now)
+                replication.handle_announcement(message, self.now)
             case TargetRenewal():
-                spread.handle_renewal(sender, message, self.now)
+                replication.handle_renewal(sender, message, self.now)
             case TargetRow():
-                spread.handle_row(sender, message, self.now)
+                replication.handle_row(sender, message, self.now)
             case TargetRows():
-                spread.handle_rows(sender, message, self.now)
+                replication.handle_rows(sender, message, self.now)
             case LeaseAttestations():
-                spread.handle_attestations(sender, message, self.now)
+                replication.handle_attestations(sender, message, self.now)
             case TargetRowsRequest():
-                spread.handle_rows_request(sender, message, self.now)
+                replication.handle_rows_request(sender, message, self.now)
 
 
 TestSpread = SpreadMachine.TestCase
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -1,4 +1,4 @@
-"""Which targets get new work, whatever order the news of them comes in."""
+"""The registry of targets: which get new work, in any order of announcements."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -9,7 +9,9 @@
 from sesameford.targets import TargetRegistry
 
 
-def news(incarnation=1, sequence=1, lease=2.0, leaving=False, target_id="t"):
+def make_announcement(
+    incarnation=1, sequence=1, lease=2.0, leaving=False, target_id="t"
+):
     return TargetAnnouncement(
         target_id,
         incarnation,
@@ -24,61 +26,71 @@
     )
 
 
-_NEWS = st.builds(
-    news, st.integers(1, 3), st.integers(1, 6), st.just(2.0), st.booleans()
+_ANNOUNCEMENTS = st.builds(
+    make_announcement, st.integers(1, 3), st.integers(1, 6), st.just(2.0), st.booleans()
 )
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
-@given(st.lists(_NEWS, min_size=1, max_size=12), st.randoms(use_true_random=False))
-def test_old_announcements_never_bring_a_target_back(said, random):
-    """News of a leave overtakes older announcements on a slower link. Taken in the
-    order of arrival they would bring a gone target back, and its callers would meet
-    refused connections."""
-    said = {(item.incarnation, item.announcement_sequence): item for item in said}
-    arrivals = [*said.values(), *said.values()]
+@given(
+    st.lists(_ANNOUNCEMENTS, min_size=1, max_size=12), st.randoms(use_true_random=False)
+)
+def test_old_announcements_never_bring_a_target_back(announcements, random):
+    """A leave overtakes older announcements on a slower link.
+
+    Applied in the order of arrival they would bring the target back, and its callers
+    would get refused connections.
+    """
+    announcements = {
+        (item.incarnation, item.announcement_sequence): item for item in announcements
+    }
+    arrivals = [*announcements.values(), *announcements.values()]
     random.shuffle(arrivals)
     registry = TargetRegistry()
-    spread = make_target_replication(registry, "e1", 1, False)
-    heard = [item for item in arrivals if spread.handle_announcement(item, 0.0)]
-    stamps = [(item.incarnation, item.announcement_sequence) for item in heard]
+    replication = make_target_replication(registry, "e1", 1, False)
+    accepted = [item for item in arrivals if replication.handle_announcement(item, 0.0)]
+    stamps = [(item.incarnation, item.announcement_sequence) for item in accepted]
     assert stamps == sorted(stamps)
-    newest = said[max(said)]
-    left = any(item.leaving for item in heard if item.incarnation == newest.incarnation)
+    newest = announcements[max(announcements)]
+    has_left = any(
+        item.leaving for item in accepted if item.incarnation == newest.incarnation
+    )
     usable = registry.usable({}, 1.0)
-    assert not (left and "t" in usable)
+    assert not (has_left and "t" in usable)
     if "t" in usable:
         assert usable["t"].incarnation == newest.incarnation
 
 
-def test_a_target_that_ends_can_not_announce_itself_back():
-    """A target says that it leaves, and an announcement of its own that was on the
-    way arrives after that with a later number."""
+def test_a_target_that_left_can_not_announce_itself_back():
+    """A target leaves, and its own announcement with a later number arrives after."""
     registry = TargetRegistry()
-    spread = make_target_replication(registry, "e1", 1, False)
-    spread.handle_announcement(news(1, 1), 0.0)
-    assert spread.handle_leave("t", 1, 2, 0.5)
-    spread.handle_announcement(news(1, 3), 0.6)
+    replication = make_target_replication(registry, "e1", 1, False)
+    replication.handle_announcement(make_announcement(1, 1), 0.0)
+    assert replication.handle_leave("t", 1, 2, 0.5)
+    replication.handle_announcement(make_announcement(1, 3), 0.6)
     assert registry.usable({}, 0.7) == {}
-    spread.handle_announcement(news(2, 1), 0.8)
+    replication.handle_announcement(make_announcement(2, 1), 0.8)
     assert registry.usable({}, 0.9)["t"].incarnation == 2
 
 
 def test_targets_of_an_evacuated_data_centre_get_no_new_work():
     registry = TargetRegistry()
-    spread = make_target_replication(registry, "e1", 1, False)
-    spread.handle_announcement(news(1, 1), 0.0)
-    place = registry.get("t").target.data_centre
+    replication = make_target_replication(registry, "e1", 1, False)
+    replication.handle_announcement(make_announcement(1, 1), 0.0)
+    data_centre = registry.get("t").target.data_centre
     assert registry.usable({}, 0.5)
-    assert not registry.usable({}, 0.5, frozenset({place}))
+    assert not registry.usable({}, 0.5, frozenset({data_centre}))
 
 
-def test_no_new_work_after_the_lease_or_while_connections_fail():
-    """A target dies silently. Until its lease runs out each router learns by its own
-    failed connections, and then goes back to it more and more rarely."""
+def test_no_new_work_after_the_lease_or_during_backoff():
+    """A target dies silently, while its lease is still valid.
+
+    Each router detects it by its own failed connections, and retries it with an
+    increasing backoff.
+    """
     registry = TargetRegistry()
-    spread = make_target_replication(registry, "e1", 1, False)
-    spread.handle_announcement(news(lease=10.0), 0.0)
+    replication = make_target_replication(registry, "e1", 1, False)
+    replication.handle_announcement(make_announcement(lease=10.0), 0.0)
     registry.suspend("t", 1, 1.0)
     assert not registry.usable({}, 1.4)
     assert registry.usable({}, 1.6)
@@ -91,15 +103,16 @@
     assert not registry.usable({}, 10.0)
 
 
-def test_a_flapping_target_comes_back_slowly():
-    """A target crashes seconds after each start. Given a full load at once it would
-    cut all of that each time."""
+def test_a_flapping_target_gets_increasing_backoff():
+    """A target crashes seconds after each start, with all the load it was given."""
     registry = TargetRegistry()
-    spread = make_target_replication(registry, "e1", 1, False)
+    replication = make_target_replication(registry, "e1", 1, False)
     waits = []
     for incarnation in range(1, 7):
         started = incarnation * 5.0
-        spread.handle_announcement(news(incarnation, lease=60.0), started)
+        replication.handle_announcement(
+            make_announcement(incarnation, lease=60.0), started
+        )
         waited = 0.0
         while not registry.usable({}, started + waited):
             waited += 0.5
@@ -107,11 +120,13 @@
     assert waits == [0.0, 0.0, 1.0, 2.0, 4.0, 8.0]
 
 
-def test_a_new_incarnation_tells_that_the_old_one_is_gone():
+def test_a_new_incarnation_calls_the_replacement_callback():
     registry = TargetRegistry()
-    spread = make_target_replication(registry, "e1", 1, False)
-    gone = []
-    registry.set_replacement_callback(lambda *what: gone.append(what))
-    spread.handle_announcement(news(1), 0.0)
-    spread.handle_announcement(news(2), 1.0)
-    assert gone == [("t", 2, 1.0)]
+    replication = make_target_replication(registry, "e1", 1, False)
+    replacements = []
+    registry.set_replacement_callback(
+        lambda *replacement: replacements.append(replacement)
+    )
+    replication.handle_announcement(make_announcement(1), 0.0)
+    replication.handle_announcement(make_announcement(2), 1.0)
+    assert replacements == [("t", 2, 1.0)]
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""Instances, targets and operators without a valid identity get nowhere."""
+"""TLS of links and of the callers' port: peers without a valid identity are refused."""
 
 import asyncio
 import ssl
@@ -19,7 +19,7 @@
 from tests.authority import Authority
 from tests.test_instance import make_settings, running
 
-BEAT = Heartbeat("a", InstanceState.READY, 1)
+HEARTBEAT = Heartbeat("a", InstanceState.READY, 1)
 
 
 async def until(condition):
@@ -29,30 +29,30 @@
 
 
 async def open_links(settings, identities, key=b"key"):
-    """Return links and what each heard, all sending heartbeats until stopped."""
-    links, heard = [], []
+    """Return started links, and for each the list of senders it received from."""
+    links, received = [], []
     for one, tls in zip(settings, identities, strict=True):
-        got: list[str] = []
-        heard.append(got)
+        senders: list[str] = []
+        received.append(senders)
         files = read_files(tls, "test") if tls else None
         link = PeerLinks(
             one,
             1,
             key,
-            lambda sender, *_, got=got: got.append(sender),
+            lambda sender, *_, senders=senders: senders.append(sender),
             monotonic,
             files,
         )
         await link.start()
         links.append(link)
-    return links, heard
+    return links, received
 
 
-async def test_peers_of_one_authority_hear_each_other_and_others_do_not(tmp_path):
-    """Somebody in the network listens and dials with another authority's identity.
+async def test_only_peers_of_the_same_authority_exchange_messages(tmp_path):
+    """A process in the network listens and dials with another authority's identity.
 
-    Let in, it could grant itself capacity or tell instances of trees that nobody
-    accepted.
+    If accepted, it could grant itself capacity or send instances settings trees that
+    were never accepted.
     """
     ours, theirs = Authority(tmp_path, "ours"), Authority(tmp_path, "theirs")
     settings = make_settings(tmp_path, 4, 0)
@@ -62,45 +62,45 @@
         theirs.identity("e2"),
         None,
     ]
-    links, heard = await open_links(settings, identities)
+    links, received = await open_links(settings, identities)
     try:
         for _ in range(100):
             for link in links:
-                link.send(Outgoing(None, BEAT))
+                link.send(Outgoing(None, HEARTBEAT))
                 link.flush()
             await asyncio.sleep(0.02)
-            if "e1" in heard[0] and "e0" in heard[1]:
+            if "e1" in received[0] and "e0" in received[1]:
                 break
-        assert set(heard[0]) == {"e1"}
-        assert set(heard[1]) == {"e0"}
-        assert heard[2] == heard[3] == []
+        assert set(received[0]) == {"e1"}
+        assert set(received[1]) == {"e0"}
+        assert received[2] == received[3] == []
     finally:
         for link in links:
             await link.stop()
 
 
-async def test_an_instance_does_not_talk_to_one_in_another_s_place(tmp_path):
+async def test_an_instance_sends_nothing_to_an_impersonator(tmp_path):
     """An instance's key is stolen and used to listen at another instance's address.
 
-    The certificate is of the right authority, but in the wrong name.
+    The certificate is of the right authority, but has the wrong name.
     """
     ours = Authority(tmp_path, "ours")
     settings = make_settings(tmp_path, 2, 0)
     stolen = ours.identity("e7")
-    links, heard = await open_links(settings, [ours.identity("e0"), stolen])
+    links, received = await open_links(settings, [ours.identity("e0"), stolen])
     try:
         for _ in range(30):
-            links[0].send(Outgoing("e1", BEAT))
+            links[0].send(Outgoing("e1", HEARTBEAT))
             links[0].flush()
             await asyncio.sleep(0.02)
-        assert heard[1] == []
+        assert received[1] == []
     finally:
         for link in links:
             await link.stop()
 
 
 def test_a_seal_of_another_key_is_refused():
-    envelope = Envelope("e1", 1, 1, (0, 0), (BEAT,))
+    envelope = Envelope("e1", 1, 1, (0, 0), (HEARTBEAT,))
     sealed = seal(b"one key", encode_envelope(envelope))
     assert unseal(b"one key", sealed) == encode_envelope(envelope)
     with pytest.raises(PeerError):
@@ -111,7 +111,7 @@
         unseal(b"one key", b"")
 
 
-async def test_callers_speak_tls_and_nothing_else(tmp_path):
+async def test_the_callers_port_accepts_only_tls(tmp_path):
     ours = Authority(tmp_path, "ours")
     (settings,) = make_settings(tmp_path, 1, 1)
     settings = replace_fields(settings, tls=ours.identity("e0"))
@@ -122,14 +122,14 @@
             assert answer.status == 200
         with pytest.raises(ClientError):
             await session.get(f"http://{url}")
-        stranger = ssl.create_default_context()
+        untrusting = ssl.create_default_context()
         with pytest.raises(ClientConnectorError):
-            await session.get(f"https://{url}", ssl=stranger)
+            await session.get(f"https://{url}", ssl=untrusting)
 
 
-def test_new_files_come_into_force_without_a_stop(tmp_path):
-    """Certificates run out. Where an instance had to stop for new ones, each renewal
-    would cut streams, and operators would put it off until it is too late."""
+def test_new_files_are_loaded_without_a_restart(tmp_path):
+    """Certificates expire. If an instance had to restart to load new ones, each renewal
+    would cut streams, and operators would postpone it until too late."""
     ours = Authority(tmp_path, "ours")
     tls = ours.identity("e0")
     changed = []
@@ -148,7 +148,7 @@
     ]
 
 
-def test_files_that_do_not_belong_together_are_refused(tmp_path):
+def test_files_that_do_not_match_are_refused(tmp_path):
     ours = Authority(tmp_path, "ours")
     one, other = ours.identity("e0"), ours.identity("e1")
     mixed = replace_fields(one, key_file=other.key_file)
