--- a/sesameford/gateway/admit.py
+++ b/sesameford/gateway/admit.py
@@ -1,4 +1,4 @@
-"""Whether a call is to run: its route, its customer's key and share, its body."""
+"""Admission of calls: route, customer, share and queue, and reading of bodies."""
 
 from dataclasses import dataclass
 
@@ -17,33 +17,37 @@
 from sesameford.gateway.route_table import choose_service
 from sesameford.operators_http import digest_of_key
 
-# A customer over its share is asked to come back while its objective can still be met.
-SHARE_RETRY_PART = 0.25
-# An engine that would begin to read within this part of the shortest objective has
-# room: whoever asks is served there, as the rest of the objective is left to others.
-# More than that would make those late who ask for little.
-ROOM_PART = 0.04
-# Nor is there room while prompts wait longer than this part of it on average over all
-# engines. One engine without work says little: routers see it late, and what is read
-# there sends other prompts to engines that have work.
-ROOM_WAIT_PART = 0.05
-# An instance that is late stays so for as long as its callers flood it; those who come
-# back sooner cost it the time in which it could serve others.
+# Retry-After of a request over its customer's share, as a part of the route's
+# objective: the retry can still meet the objective.
+OVER_SHARE_RETRY_PART = 0.25
+# An engine that would start to read within this part of the shortest objective has
+# spare capacity: any customer is served there, as most of the objective remains for the
+# requests that follow. A larger part would delay customers that request little.
+SPARE_CAPACITY_START_PART = 0.04
+# There is no spare capacity either while the average wait of prompts over all engines
+# exceeds this part of the shortest objective. One idle engine shows little: routers
+# learn of it late, and a prompt read there displaces others to busy engines.
+SPARE_CAPACITY_WAIT_PART = 0.05
+# An instance stays late for as long as its callers overload it. Earlier retries would
+# take time in which it could serve others.
 OVERLOADED_RETRY_SECONDS = 1.0
-# A caller who was turned away for another customer's flood is served by the instance to
-# which its next try goes; the pause only keeps tries apart.
-ELSEWHERE_RETRY_SECONDS = 0.02
-# A caller gives up a call that nobody has read for so long, or for this part of the
-# time that it has.
-UNREAD_SECONDS = 1.0
-UNREAD_PART = 1 / 3
-# A caller of an instance that stops is served by another one at once.
+# A caller refused because another customer overloads this instance is served by the
+# instance that its retry reaches; the delay only spaces out retries.
+OTHER_INSTANCE_RETRY_SECONDS = 0.02
+# A caller is assumed to have left if its call lay unread for this time, or for this
+# part of its timeout.
+MAX_UNREAD_SECONDS = 1.0
+MAX_UNREAD_PART = 1 / 3
+# Another instance can serve the callers of a stopping one immediately.
 STOPPING_RETRY_SECONDS = 0.02
 
 
 @dataclass(frozen=True, slots=True)
-class Admitted:
-    """Where a call goes that is to run, and by what state that was decided."""
+class AdmittedCall:
+    """The route, service and regions of an admitted call, and the state that it used.
+
+    ``homes`` are the regions in which it may run, None for all.
+    """
 
     state: GatewayState
     route: HttpRouteSettings
@@ -52,11 +56,18 @@
     homes: frozenset[str] | None = None
 
 
-def decide(deps: GatewayDeps, call: Call, arrived_at_seconds: float) -> Admitted:
-    """Find a call's route and customer, and decide whether it is to run.
+def admit_call(
+    deps: GatewayDeps, call: Call, arrived_at_seconds: float
+) -> AdmittedCall:
+    """Find a call's route and customer, and decide whether to admit it.
+
+    Args:
+        deps: The router's parts.
+        call: The call without its body.
+        arrived_at_seconds: When its head arrived, by the router's clock.
 
     Raises:
-        Refusal: It is not.
+        Refusal: The call is not admitted.
     """
     state = deps.state()
     if state is None:
@@ -67,35 +78,37 @@
     if route is None:
         raise Refusal(404, "no-route")
     customer = _customer_of(state.tree, route, call)
-    homes = _homes(state.tree, route, customer)
+    homes = _home_regions_of(state.tree, route, customer)
     service = choose_service(route, deps.random.random())
     prompt = call.prompt if service in state.engine_services else None
-    if deps.lag.is_too_late(arrived_at_seconds):
+    if deps.lag.is_lagging(arrived_at_seconds):
         _check_late(deps, call, route, customer or "", prompt, arrived_at_seconds)
     elif prompt is not None:
         _check_share(deps, state, route, customer or "", prompt, service, homes)
     elif service not in state.engine_services:
         _check_queue(deps, route, customer or "", service)
-    return Admitted(state, route, customer, service, homes)
+    return AdmittedCall(state, route, customer, service, homes)
 
 
-async def begin(
+async def make_call_context(
     deps: GatewayDeps,
     http: web.BaseRequest,
     call: Call,
-    admitted: Admitted,
+    admitted: AdmittedCall,
     arrived_at_seconds: float,
 ) -> CallContext:
-    """Read the body of a call that is to run.
+    """Read the body of an admitted call and return the call's context.
 
     Raises:
-        Refusal: It is too large.
+        Refusal: The body is too large.
     """
-    body = await _body(http, admitted.state.tree.fleet.body_limit_bytes)
+    body = await _read_body(http, admitted.state.tree.fleet.body_limit_bytes)
     route = admitted.route
-    patience_seconds = route.timeout_seconds
-    if call.patience_seconds is not None:
-        patience_seconds = min(patience_seconds, call.patience_seconds)
+    caller_timeout_seconds = route.timeout_seconds
+    if call.caller_timeout_seconds is not None:
+        caller_timeout_seconds = min(
+            caller_timeout_seconds, call.caller_timeout_seconds
+        )
     spent_seconds = deps.now() - arrived_at_seconds
     return CallContext(
         call,
@@ -105,7 +118,7 @@
         admitted.service,
         admitted.homes,
         arrived_at_seconds,
-        deps.loop_time() + patience_seconds - spent_seconds,
+        deps.loop_time() + caller_timeout_seconds - spent_seconds,
     )
 
 
@@ -117,35 +130,39 @@
     prompt: Prompt | None,
     now_seconds: float,
 ) -> None:
-    """Reject most calls while the loop is late, after what they have waited unread.
+    """Refuse most calls while the event loop is late.
 
-    Mostly one customer whose callers all come to this instance keeps it busy. Then the
-    others are asked back at once: each try goes to another instance, and those have
-    room. The customer itself, which is limited, is served its share here however late
-    the loop is: refusing the rest of its flood is what keeps it late, so it would get
-    nothing for as long as that lasts, and rivals that come by several instances all of
-    theirs. It is turned away too after a stop of the loop in which its callers have
-    given up.
+    Usually one customer whose callers all use this instance keeps it busy. The calls of
+    other customers are then refused with a short Retry-After: each retry reaches
+    another instance, and those have spare capacity. The customer itself, which is
+    limited, is served its share here however late the loop is: refusing the rest of its
+    calls keeps the loop late, so it would get nothing while that lasts, and customers
+    that use several instances would get their full shares. It is refused too if the
+    loop stood still for so long that its callers have left.
 
     Raises:
-        Refusal: It is not to run.
+        Refusal: The call is not admitted.
     """
     lateness_seconds = deps.lag.lateness_seconds(now_seconds)
-    patience_seconds = call.patience_seconds or route.timeout_seconds
-    has_left = lateness_seconds > min(UNREAD_SECONDS, UNREAD_PART * patience_seconds)
+    caller_timeout_seconds = call.caller_timeout_seconds or route.timeout_seconds
+    has_caller_left = lateness_seconds > min(
+        MAX_UNREAD_SECONDS, MAX_UNREAD_PART * caller_timeout_seconds
+    )
     is_limited = customer in deps.gate.fractions
-    if prompt is not None and (has_left or not is_limited):
+    if prompt is not None and (has_caller_left or not is_limited):
         deps.gate.record_rejection(customer, prompt.cost_tokens)
     elif prompt is not None:
-        has_earned = deps.gate.admits(customer, route.route_id, prompt.cost_tokens)
-        if has_earned:
+        is_within_share = deps.gate.admits(customer, route.route_id, prompt.cost_tokens)
+        if is_within_share:
             return
     deps.gate.account.record_late_refusal()
     is_flood_of_others = deps.gate.fractions and not is_limited
     raise Refusal(
         503,
         "overloaded",
-        ELSEWHERE_RETRY_SECONDS if is_flood_of_others else OVERLOADED_RETRY_SECONDS,
+        OTHER_INSTANCE_RETRY_SECONDS
+        if is_flood_of_others
+        else OVERLOADED_RETRY_SECONDS,
         route.route_id,
         customer,
         f"loop late by {lateness_seconds:.3f} s",
@@ -161,30 +178,32 @@
     service: str,
     homes: frozenset[str] | None,
 ) -> None:
-    """Reject a request beyond its customer's share.
+    """Refuse a request that exceeds its customer's share.
 
     Raises:
-        Refusal: Others would wait for it.
+        Refusal: The share is used up and engines have no spare capacity.
     """
 
-    def has_room() -> bool:
+    def has_spare_capacity() -> bool:
         return deps.placement.has_spare_capacity(
             service,
             prompt,
             state.tree.services[service],
             route.objective_seconds,
-            ROOM_PART * state.shortest_objective_seconds,
-            ROOM_WAIT_PART * state.shortest_objective_seconds,
+            SPARE_CAPACITY_START_PART * state.shortest_objective_seconds,
+            SPARE_CAPACITY_WAIT_PART * state.shortest_objective_seconds,
             deps.now(),
             homes,
         )
 
-    if deps.gate.admits(customer, route.route_id, prompt.cost_tokens, has_room):
+    if deps.gate.admits(
+        customer, route.route_id, prompt.cost_tokens, has_spare_capacity
+    ):
         return
     raise Refusal(
         429,
         "over-share",
-        SHARE_RETRY_PART * route.objective_seconds,
+        OVER_SHARE_RETRY_PART * route.objective_seconds,
         route.route_id,
         customer,
         f"fraction {deps.gate.fractions.get(customer, 1.0):.3f}",
@@ -194,13 +213,13 @@
 def _check_queue(
     deps: GatewayDeps, route: HttpRouteSettings, customer: str, service: str
 ) -> None:
-    """Reject a part by lot while the queues of a plain service are long.
+    """Refuse a random part of calls while the queues of a plain service are long.
 
-    Were all let in, a service that is asked for more than it can do would answer
-    everybody late from when its queues are full.
+    If an overloaded service got all calls, each answer would be late once its queues
+    are full.
 
     Raises:
-        Refusal: The answer would come late, or make others come late.
+        Refusal: The call is in the refused part.
     """
     queue = deps.placement.plain_queue(service, deps.now())
     takes_seconds = queue.takes_seconds
@@ -222,7 +241,11 @@
 def _customer_of(
     tree: EffectiveTree, route: HttpRouteSettings, call: Call
 ) -> str | None:
-    """Return the customer whose key a call has."""
+    """Return the customer whose key a call has, None for a public route.
+
+    Raises:
+        Refusal: The route needs a key, and the call has none that is known.
+    """
     if call.key is not None:
         customer = tree.customer_ids_by_digest.get(digest_of_key(call.key))
         if customer is not None:
@@ -232,13 +255,13 @@
     raise Refusal(401, "unknown-key", route_id=route.route_id)
 
 
-def _homes(
+def _home_regions_of(
     tree: EffectiveTree, route: HttpRouteSettings, customer: str | None
 ) -> frozenset[str] | None:
     """Return the regions in which a call may run, None for all.
 
     Raises:
-        Refusal: Its route and its customer have none in common.
+        Refusal: The route and the customer have no region in common.
     """
     homes = [frozenset(route.home_regions)] if route.home_regions else []
     settings = tree.customers.get(customer) if customer is not None else None
@@ -254,7 +277,7 @@
     return common
 
 
-async def _body(http: web.BaseRequest, limit_bytes: int) -> bytes:
+async def _read_body(http: web.BaseRequest, limit_bytes: int) -> bytes:
     if not http.body_exists:
         return b""
     body = bytearray()
--- a/sesameford/gateway/call_log.py
+++ b/sesameford/gateway/call_log.py
@@ -1,4 +1,4 @@
-"""The log lines of a call: refused, a sending that failed, and its end."""
+"""Log lines for refused calls, failed send attempts and the ends of calls."""
 
 import logging
 
@@ -13,7 +13,7 @@
 def log_refusal(
     deps: GatewayDeps,
     call: Call | None,
-    run: CallContext | None,
+    context: CallContext | None,
     refusal: Refusal,
     arrived_at_seconds: float,
 ) -> None:
@@ -24,10 +24,10 @@
             "request": call.request_id if call else "",
             "status": refusal.status,
             "reason": refusal.reason,
-            "route": run.route.route_id if run else refusal.route_id,
-            "customer": run.customer if run else refusal.customer,
+            "route": context.route.route_id if context else refusal.route_id,
+            "customer": context.customer if context else refusal.customer,
             "detail": refusal.detail,
-            "sendings": run.send_attempts if run else 0,
+            "sendings": context.send_attempts if context else 0,
             "revision": state.tree.revision if state else 0,
             "after_seconds": round(deps.now() - arrived_at_seconds, 3),
         },
@@ -35,48 +35,57 @@
 
 
 def log_failure(
-    deps: GatewayDeps, run: CallContext, lease: Reservation, error: SendAttemptError
+    deps: GatewayDeps,
+    context: CallContext,
+    reservation: Reservation,
+    error: SendAttemptError,
 ) -> None:
     logger.warning(
         "sending failed",
         extra={
-            "request": run.call.request_id,
-            "target": lease.target_id,
-            "address": lease.address,
+            "request": context.call.request_id,
+            "target": reservation.target_id,
+            "address": reservation.address,
             "fate": error.outcome.value,
             "detail": error.detail,
-            "sendings": run.send_attempts,
+            "sendings": context.send_attempts,
         },
     )
 
 
-def log_end(deps: GatewayDeps, run: CallContext, outcome: str, detail: str) -> None:
-    took_seconds = deps.now() - run.arrived_at_seconds
+def log_end(deps: GatewayDeps, context: CallContext, outcome: str, detail: str) -> None:
+    took_seconds = deps.now() - context.arrived_at_seconds
     deps.metrics.record_relayed_call(
-        outcome, run.route.route_id, run.status, took_seconds, run.first_event_seconds
+        outcome,
+        context.route.route_id,
+        context.status,
+        took_seconds,
+        context.first_event_seconds,
     )
-    if run.route.is_stream and run.first_event_seconds is not None:
-        deps.metrics.record_pause(run.route.route_id, run.longest_pause_seconds)
-    first = run.first_event_seconds
-    lease = run.reservation
-    # The line of a call that failed is among the last to be left out.
+    if context.route.is_stream and context.first_event_seconds is not None:
+        deps.metrics.record_pause(context.route.route_id, context.longest_pause_seconds)
+    first = context.first_event_seconds
+    reservation = context.reservation
+    # When lines are left out, warnings are among the last.
     level = logging.WARNING if outcome == "cut" else logging.INFO
     logger.log(
         level,
         outcome,
         extra={
-            "request": run.call.request_id,
-            "route": run.route.route_id,
-            "customer": run.customer or "",
-            "targets": ",".join(run.tried),
-            "sendings": run.send_attempts,
-            "status": run.status,
+            "request": context.call.request_id,
+            "route": context.route.route_id,
+            "customer": context.customer or "",
+            "targets": ",".join(context.tried),
+            "sendings": context.send_attempts,
+            "status": context.status,
             "detail": detail,
             "took_seconds": round(took_seconds, 3),
             "first_event_seconds": "" if first is None else round(first, 3),
-            "longest_pause_seconds": round(run.longest_pause_seconds, 3),
-            "expected_seconds": round(lease.expected_seconds, 3) if lease else 0.0,
-            "unread_tokens": lease.tokens if lease else 0,
-            "rate_tokens": round(lease.rate_tokens) if lease else 0,
+            "longest_pause_seconds": round(context.longest_pause_seconds, 3),
+            "expected_seconds": round(reservation.expected_seconds, 3)
+            if reservation
+            else 0.0,
+            "unread_tokens": reservation.tokens if reservation else 0,
+            "rate_tokens": round(reservation.rate_tokens) if reservation else 0,
         },
     )
--- a/sesameford/gateway/calls.py
+++ b/sesameford/gateway/calls.py
@@ -1,4 +1,4 @@
-"""A caller's request to a route, and what an edge says of requests and answers."""
+"""Calls, prompts and answer heads, and the adapter that translates headers."""
 
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt that other prompts may begin with too."""
+    """A prefix part of a prompt that other prompts may share."""
 
     part_id: int
     tokens: int
@@ -18,7 +18,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Prompt:
-    """What a caller says beforehand of the work for a model engine."""
+    """The work of a request for a model engine, as the caller's headers state it.
+
+    ``parts`` are the prefix parts in order, the last one the request's own.
+    """
 
     model: str
     prompt_tokens: int
@@ -28,12 +31,12 @@
 
     @property
     def cost_tokens(self) -> int:
-        """Return the tokens read, and twice those that will likely be generated."""
+        """Return the prompt tokens plus twice the expected output tokens."""
         return self.prompt_tokens + 2 * self.output_tokens
 
     @property
     def output_tokens(self) -> int:
-        """Return how many tokens will likely be generated."""
+        """Return the expected number of generated tokens."""
         output_tokens = self.output_tokens_hint
         if output_tokens is None:
             output_tokens = self.output_tokens_limit // 2
@@ -41,23 +44,23 @@
 
     @property
     def own_tokens(self) -> int:
-        """Return the tokens that no other request has, as far as it says."""
+        """Return the tokens of the last part, which no other request shares."""
         return self.parts[-1].tokens if self.parts else self.prompt_tokens
 
     @property
     def shared_parts(self) -> tuple[PromptPart, ...]:
-        """Return the parts that other requests have; the last is this one's own."""
+        """Return the parts that other requests may share: all but the last."""
         return self.parts[:-1]
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A request as its caller sent it, without its body.
+    """A caller's request without its body.
 
-    ``target`` is the path with the query, byte for byte. ``headers`` are those that
-    go on to the target as they came. ``patience_seconds`` is how long the caller
-    waits, None where it does not say. ``resume_after`` is the last event that the
-    caller has of a stream.
+    ``target`` is the path with the query, byte for byte. ``headers`` are forwarded to
+    the target unchanged. ``caller_timeout_seconds`` is how long the caller waits, None
+    if it is not stated. ``resume_after`` is the id of the last event of a stream that
+    the caller received.
     """
 
     request_id: str
@@ -66,7 +69,7 @@
     target: str
     headers: Headers
     key: str | None = None
-    patience_seconds: float | None = None
+    caller_timeout_seconds: float | None = None
     prompt: Prompt | None = None
     resume_after: str | None = None
 
@@ -78,10 +81,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """What the system tells one target beside the caller's own request.
+    """The system's data for one target, sent in addition to the caller's request.
 
-    ``copy_from`` is the address of another engine that remembers the prompt's shared
-    parts, for the target to copy them instead of reading them.
+    ``left_seconds`` is the time left until the call's deadline. ``copy_from`` is the
+    address of another engine that has the prompt's shared parts in its cache, for the
+    target to copy them instead of reading them.
     """
 
     target_id: str
@@ -93,11 +97,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """What the head of a target's answer says.
+    """Status and headers of a target's answer.
 
-    ``is_signed`` tells the target's own answers from anything between. ``not_run``
-    is its word that it did no work on the request; ``is_other`` that another target
-    has the address now. ``idle_seconds`` is how long it keeps the connection.
+    ``is_signed`` distinguishes the target's own answers from those of intermediaries.
+    ``not_run`` states that the target did no work on the request,
+    ``is_other_target`` that another target has the address now.
     """
 
     status: int
@@ -105,14 +109,14 @@
     request_id: str | None
     is_signed: bool
     not_run: bool = False
-    is_other: bool = False
+    is_other_target: bool = False
 
 
 class BadCallError(SesamefordError):
-    """A request that can't be understood.
+    """A request that can't be parsed.
 
     Args:
-        detail: A sentence for the caller.
+        detail: The error message for the caller.
         status: The HTTP status code.
     """
 
@@ -124,17 +128,18 @@
 
 @dataclass(frozen=True, slots=True)
 class WireAdapter:
-    """How callers and targets of one platform speak.
+    """The functions that translate one platform's headers.
 
     Args:
-        read_call: Reads method, path with query, and headers; raises
+        read_call: Parses method, path with query, and headers; raises
             ``BadCallError``.
-        sent_headers: Returns all headers for a target.
-        read_answer: Reads status and headers of a target's answer.
-        own_headers: Returns the headers of an answer of the system's own.
+        sent_headers: Returns all headers of a request to a target.
+        read_answer: Parses status and headers of a target's answer.
+        generated_answer_headers: Returns the headers of an answer that the router
+            generates itself.
     """
 
     read_call: Callable[[str, str, Mapping[str, str], Headers], Call]
     sent_headers: Callable[[Call, SendAttempt], Headers]
     read_answer: Callable[[int, Headers], AnswerHead]
-    own_headers: Callable[[Call | None], Headers]
+    generated_answer_headers: Callable[[Call | None], Headers]
--- a/sesameford/gateway/early_decision.py
+++ b/sesameford/gateway/early_decision.py
@@ -1,4 +1,4 @@
-"""Whether a call is to run, decided when its head has come."""
+"""Admission of calls as soon as their heads have arrived."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -6,34 +6,39 @@
 from aiohttp.http_parser import RawRequestMessage
 
 from sesameford.early_answers import EarlyAnswer
-from sesameford.gateway.admit import Admitted, decide
+from sesameford.gateway.admit import AdmittedCall, admit_call
 from sesameford.gateway.call_context import GatewayDeps, Refusal
 from sesameford.gateway.calls import BadCallError, Call
-from sesameford.gateway.own_answer import refuse
+from sesameford.gateway.own_answer import refuse_call
 
 
 @dataclass(frozen=True, slots=True)
 class EarlyCall:
-    """A call that is to run, of which the body is not read yet."""
+    """An admitted call whose body is not read yet."""
 
     call: Call
-    admitted: Admitted
+    admitted: AdmittedCall
     arrived_at_seconds: float
 
 
 def make_early_decision(
     deps: GatewayDeps,
 ) -> Callable[[RawRequestMessage], EarlyAnswer | EarlyCall]:
-    """Return what decides on the heads of calls."""
+    """Return the function that decides on a call by its head.
+
+    It returns an ``EarlyCall`` for an admitted call, an answer for a refused one.
+    """
 
     def decide_early(message: RawRequestMessage) -> EarlyAnswer | EarlyCall:
         arrived_at_seconds = deps.now()
         call = None
         try:
             call = read_call(deps, message.method, message.path, message.headers)
-            admitted = decide(deps, call, arrived_at_seconds)
+            admitted = admit_call(deps, call, arrived_at_seconds)
         except Refusal as refusal:
-            return refuse(deps, call, None, refusal, arrived_at_seconds).early()
+            return refuse_call(
+                deps, call, None, refusal, arrived_at_seconds
+            ).to_early_answer()
         return EarlyCall(call, admitted, arrived_at_seconds)
 
     return decide_early
@@ -42,10 +47,16 @@
 def read_call(
     deps: GatewayDeps, method: str, target: str, headers: Mapping[str, str]
 ) -> Call:
-    """Return what a caller asks.
+    """Parse a call with the platform's adapter.
+
+    Args:
+        deps: The router's parts.
+        method: The HTTP method.
+        target: The path with the query.
+        headers: The headers.
 
     Raises:
-        Refusal: It can't be read.
+        Refusal: The call can't be parsed.
     """
     pairs = [(str(name), value) for name, value in headers.items()]
     try:
--- a/sesameford/gateway/forward.py
+++ b/sesameford/gateway/forward.py
@@ -198,7 +198,7 @@
         """
         headers = [(str(name), value) for name, value in response.headers.items()]
         head = self.wire_adapter.read_answer(response.status, headers)
-        if head.is_other:
+        if head.is_other_target:
             raise SendAttemptError(
                 SendOutcome.WRONG_TARGET, "another target has the address"
             )
--- a/sesameford/gateway/load_system.py
+++ b/sesameford/gateway/load_system.py
@@ -124,7 +124,7 @@
 
     def tick(self, now_seconds: float) -> None:
         """Report what is under way here, or add up what others report."""
-        self.lag.ran(REPORT_SECONDS, now_seconds)
+        self.lag.record_run(REPORT_SECONDS, now_seconds)
         if self._has_disk:
             self._add_up(now_seconds)
         elif self.report.may_report(now_seconds):
@@ -281,7 +281,7 @@
         """
         customers = self.gate.account.format_sums(self.gate.fractions)
         late_requests = self.gate.account.pop_late_requests()
-        late_seconds = self.lag.take_longest_seconds()
+        late_seconds = self.lag.pop_longest_seconds()
         if not self.gate.fractions and not late_requests:
             return
         logger.info(
--- a/sesameford/gateway/loop_lag.py
+++ b/sesameford/gateway/loop_lag.py
@@ -1,50 +1,55 @@
-"""How late the loop is, as a measure of how long a caller may have waited unread."""
+"""Lateness of the event loop, a measure of how long calls may have lain unread."""
 
 from dataclasses import dataclass
 
-# A new caller is accepted, its connection opened, its request read and handled, each in
-# another turn of the loop; so a turn that is late by this makes it wait four times as
-# long, which is more than half of the shortest usual objectives.
-MOST_LAG_SECONDS = 0.05
-# What is left of a turn's lateness at the next one: a loop that was late and has caught
-# up is trusted again after two or three turns.
-KEPT_PART = 0.5
+# Accepting a new connection, opening it, reading the request and handling it each take
+# another turn of the loop. A turn that is late by this delays a new caller by four
+# times as much, which is more than half of the shortest usual objectives.
+MAX_LAG_SECONDS = 0.05
+# The part of a turn's lateness that remains at the next one: a loop that has caught up
+# counts as punctual again after two or three turns.
+REMAINING_LAG_PART = 0.5
 
 
 @dataclass(slots=True)
 class LoopLag:
-    """How late a system that runs regularly was, and when it should run next."""
+    """How late a periodic task runs; ``due_at_seconds`` is its next time."""
 
     due_at_seconds: float = float("inf")
     late_seconds: float = 0.0
     _longest_seconds: float = 0.0
 
-    def ran(self, every_seconds: float, now_seconds: float) -> None:
-        """Note that the system runs now, and again after so long."""
+    def record_run(self, every_seconds: float, now_seconds: float) -> None:
+        """Record that the task runs now.
+
+        Args:
+            every_seconds: The time until it is due again.
+            now_seconds: The present time.
+        """
         late_seconds = max(now_seconds - self.due_at_seconds, 0.0)
-        self.late_seconds = max(late_seconds, KEPT_PART * self.late_seconds)
+        self.late_seconds = max(late_seconds, REMAINING_LAG_PART * self.late_seconds)
         self._longest_seconds = max(late_seconds, self._longest_seconds)
         self.due_at_seconds = now_seconds + every_seconds
 
-    def is_too_late(self, now_seconds: float) -> bool:
-        """Return whether new calls are better served by other instances.
+    def is_lagging(self, now_seconds: float) -> bool:
+        """Return whether the loop is so late that other instances should serve calls.
 
-        A flood at one instance keeps its loop busy. Requests then lie unread until
-        their callers give up, and a request that is passed on afterwards makes a
-        target work for nobody, while the loop falls behind further.
+        A burst of calls at one instance keeps its loop busy. Requests then lie unread
+        until their callers give up. Forwarding such a request makes a target work
+        for a caller that has left, while the loop falls behind further.
         """
-        return self.lateness_seconds(now_seconds) > MOST_LAG_SECONDS
+        return self.lateness_seconds(now_seconds) > MAX_LAG_SECONDS
 
-    def take_longest_seconds(self) -> float:
-        """Return the longest lateness of a turn since this was asked last."""
+    def pop_longest_seconds(self) -> float:
+        """Return the longest lateness of a turn since the last call of this method."""
         longest_seconds, self._longest_seconds = self._longest_seconds, 0.0
         return longest_seconds
 
     def lateness_seconds(self, now_seconds: float) -> float:
-        """Return by how much the loop is late, or was of late."""
+        """Return by how much the loop is late now or was in recent turns."""
         return max(now_seconds - self.due_at_seconds, self.late_seconds)
 
 
 def make_loop_lag() -> LoopLag:
-    """Return a measure that says nothing until the system has run once."""
+    """Return a measure that reports no lateness until the task has run once."""
     return LoopLag()
--- a/sesameford/gateway/own_answer.py
+++ b/sesameford/gateway/own_answer.py
@@ -1,4 +1,4 @@
-"""Answers of a router's own, such as refusals, by the library or before it begins."""
+"""Answers that a router generates itself, with the HTTP library or ahead of it."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -13,24 +13,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwnAnswer:
-    """A refusal as its caller gets it; ``is_last`` ends the connection."""
+class GeneratedAnswer:
+    """The answer to a refused call; ``is_last`` closes the connection after it."""
 
     status: int
     headers: Mapping[str, str]
     text: str
     is_last: bool
 
-    def for_library(self) -> web.Response:
-        """Return it for a request that the library handles."""
+    def to_response(self) -> web.Response:
+        """Return the answer for a request that the HTTP library handles."""
         response = web.Response(status=self.status, text=self.text)
         response.headers.update(self.headers)
         if self.is_last:
             response.force_close()
         return response
 
-    def early(self) -> EarlyAnswer:
-        """Return it for a request that the library never sees."""
+    def to_early_answer(self) -> EarlyAnswer:
+        """Return the answer for a request that does not reach the HTTP library."""
         body = self.text.encode()
         lines = [
             f"HTTP/1.1 {self.status} {HTTPStatus(self.status).phrase}",
@@ -46,19 +46,19 @@
         )
 
 
-def refuse(
+def refuse_call(
     deps: GatewayDeps,
     call: Call | None,
-    run: CallContext | None,
+    context: CallContext | None,
     refusal: Refusal,
     arrived_at_seconds: float,
-) -> OwnAnswer:
+) -> GeneratedAnswer:
     """Count and log a refusal, and return its answer."""
     deps.metrics.record_refusal(refusal.reason)
-    log_refusal(deps, call, run, refusal, arrived_at_seconds)
-    headers = dict(deps.wire_adapter.own_headers(call))
+    log_refusal(deps, call, context, refusal, arrived_at_seconds)
+    headers = dict(deps.wire_adapter.generated_answer_headers(call))
     if refusal.retry_after_seconds is not None:
         headers["Retry-After"] = f"{refusal.retry_after_seconds:.3f}"
     is_last = deps.is_leaving() or deps.is_crowded()
     is_last |= refusal.status in (400, 408, 413)
-    return OwnAnswer(refusal.status, headers, f"{refusal.reason}\n", is_last)
+    return GeneratedAnswer(refusal.status, headers, f"{refusal.reason}\n", is_last)
--- a/sesameford/gateway/serve.py
+++ b/sesameford/gateway/serve.py
@@ -6,7 +6,7 @@
 
 from sesameford.early_answers import take_decision
 from sesameford.event_stream import EventStream
-from sesameford.gateway.admit import begin, decide
+from sesameford.gateway.admit import admit_call, make_call_context
 from sesameford.gateway.call_context import (
     RETRY_AFTER_SECONDS,
     CallContext,
@@ -25,7 +25,7 @@
     SendOutcome,
     body_until,
 )
-from sesameford.gateway.own_answer import refuse
+from sesameford.gateway.own_answer import refuse_call
 from sesameford.gateway.target_record import Reservation
 
 # A call is refused after more failed connects than this: each may take the whole
@@ -60,8 +60,12 @@
     try:
         if call is None:
             call = read_call(deps, request.method, request.raw_path, request.headers)
-        admitted = early.admitted if early else decide(deps, call, arrived_at_seconds)
-        context = await begin(deps, request, call, admitted, arrived_at_seconds)
+        admitted = (
+            early.admitted if early else admit_call(deps, call, arrived_at_seconds)
+        )
+        context = await make_call_context(
+            deps, request, call, admitted, arrived_at_seconds
+        )
         deps.metrics.record_call_start()
         try:
             response = await _send_until_answered(deps, request, context)
@@ -72,7 +76,9 @@
     except CutError as cut:
         return _cut_stream(deps, request, cut)
     except Refusal as refusal:
-        return refuse(deps, call, context, refusal, arrived_at_seconds).for_library()
+        return refuse_call(
+            deps, call, context, refusal, arrived_at_seconds
+        ).to_response()
     except asyncio.CancelledError:
         if context is not None:
             log_end(deps, context, "caller-left", "")
--- a/standins/virtual_loop.py
+++ b/standins/virtual_loop.py
@@ -1,8 +1,8 @@
 """The loop of one router in virtual time: each call costs it processor time.
 
-What a router decides is the product's own ``decide``. Callers wait in the listener's
-backlog until the loop takes them, leave when nobody reads them, and the router's other
-work (its reports, what it is sent) waits behind them.
+What a router decides is the product's own ``admit_call``. Callers wait in the
+listener's backlog until the loop takes them, leave when nobody reads them, and the
+router's other work (its reports, what it is sent) waits behind them.
 """
 
 from collections import deque
@@ -12,7 +12,7 @@
 from random import Random
 from typing import cast
 
-from sesameford.gateway.admit import decide
+from sesameford.gateway.admit import admit_call
 from sesameford.gateway.call_context import GatewayDeps, GatewayState, Refusal
 from sesameford.gateway.calls import Call, Prompt, WireAdapter
 from sesameford.gateway.forward import Sender
@@ -146,7 +146,7 @@
             "id", "POST", call.host, call.path, (), call.customer, None, prompt
         )
         try:
-            decide(self.deps, asked, self.clock_seconds)
+            admit_call(self.deps, asked, self.clock_seconds)
         except Refusal:
             return False
         return True
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -8,7 +8,10 @@
 from aiohttp import ClientPayloadError
 
 from sesameford.connection_guard import GuardLimits
-from sesameford.gateway.admit import ELSEWHERE_RETRY_SECONDS, OVERLOADED_RETRY_SECONDS
+from sesameford.gateway.admit import (
+    OTHER_INSTANCE_RETRY_SECONDS,
+    OVERLOADED_RETRY_SECONDS,
+)
 from sesameford.load_messages import ShareRow
 from sesameford.operators_http import digest_of_key
 from sesameford.tree import effective_tree, parse_tree
@@ -257,15 +260,15 @@
     work for nobody, and all other callers of the instance wait for that as well.
     """
     async with open_desk(Fault.NONE) as desk:
-        desk.deps.lag.ran(0.0, monotonic() - 1.0)
-        desk.deps.lag.ran(60.0, monotonic())
+        desk.deps.lag.record_run(0.0, monotonic() - 1.0)
+        desk.deps.lag.record_run(60.0, monotonic())
         status, _, headers = await desk.ask("/safe/")
         assert status == 503
         assert 0.5 < float(headers["Retry-After"]) < 2.0
         assert desk.runs == 0
         for _ in range(5):
             desk.deps.lag.due_at_seconds = monotonic()
-            desk.deps.lag.ran(60.0, monotonic())
+            desk.deps.lag.record_run(60.0, monotonic())
         assert (await desk.ask("/safe/"))[0] == 200
 
 
@@ -287,10 +290,13 @@
     async with open_desk(Fault.NONE, tree=tree) as desk:
         flood = tree.customer_ids_by_digest[digest_of_key(FLOOD_KEY)]
         desk.deps.gate.set_fractions((ShareRow(flood, 0.1),))
-        desk.deps.lag.ran(0.0, monotonic() - 1.0)
-        desk.deps.lag.ran(60.0, monotonic())
+        desk.deps.lag.record_run(0.0, monotonic() - 1.0)
+        desk.deps.lag.record_run(60.0, monotonic())
         status, _, headers = await desk.ask("/safe/")
-        assert (status, float(headers["Retry-After"])) == (503, ELSEWHERE_RETRY_SECONDS)
+        assert (status, float(headers["Retry-After"])) == (
+            503,
+            OTHER_INSTANCE_RETRY_SECONDS,
+        )
         key = {"Authorization": f"Bearer {FLOOD_KEY}"}
         status, _, headers = await desk.ask("/safe/", **key)
         assert (status, float(headers["Retry-After"])) == (
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -196,7 +196,7 @@
         )
     )
     assert (call.host, call.path, call.key) == ("h.example", "/a/b", "key")
-    assert call.patience_seconds == 1.5
+    assert call.caller_timeout_seconds == 1.5
     assert call.prompt.prompt_tokens == 1460
     assert call.prompt.cost_tokens == 1540
     assert [part.tokens for part in call.prompt.shared_parts] == [800, 410]
@@ -239,4 +239,4 @@
     assert dict(edge.sent_headers(call, copying))["Kv-Fetch"] == "10.0.0.9:80"
     head = edge.read_answer(503, [("x-sesameford-not-executed", "1")])
     assert head.not_run
-    assert edge.read_answer(421, []).is_other
+    assert edge.read_answer(421, []).is_other_target
