--- a/sesameford/gateway/early_decision.py
+++ b/sesameford/gateway/early_decision.py
@@ -9,7 +9,7 @@
 from sesameford.gateway.admit import AdmittedCall, admit_call
 from sesameford.gateway.call_context import GatewayDeps, Refusal
 from sesameford.gateway.calls import BadCallError, Call
-from sesameford.gateway.own_answer import refuse_call
+from sesameford.gateway.generated_answer import refuse_call
 
 
 @dataclass(frozen=True, slots=True)
--- a/sesameford/gateway/serve.py
+++ b/sesameford/gateway/serve.py
@@ -25,7 +25,7 @@
     SendOutcome,
     body_until,
 )
-from sesameford.gateway.own_answer import refuse_call
+from sesameford.gateway.generated_answer import refuse_call
 from sesameford.gateway.target_record import Reservation
 
 # A call is refused after more failed connects than this: each may take the whole
