--- a/sesameford/gateway/candidates.py
+++ b/sesameford/gateway/candidates.py
@@ -85,20 +85,20 @@
         self, found: list[HeartbeatEntry], now_seconds: float
     ) -> list[HeartbeatEntry]:
         """Return the given targets except cold ones without a permit."""
-        if not self.cold.are_any(now_seconds):
+        if not self.cold.has_cold_targets(now_seconds):
             return found
         return [
             entry
             for entry in found
             if not self.cold.is_cold(entry, now_seconds)
-            or self.cold.may_send(entry, now_seconds)
+            or self.cold.has_permit(entry, now_seconds)
         ]
 
     def warm(
         self, found: list[HeartbeatEntry], now_seconds: float
     ) -> list[HeartbeatEntry]:
         """Return the given targets except cold ones."""
-        if not self.cold.are_any(now_seconds):
+        if not self.cold.has_cold_targets(now_seconds):
             return found
         return [entry for entry in found if not self.cold.is_cold(entry, now_seconds)]
 
@@ -106,7 +106,7 @@
         self, found: list[HeartbeatEntry], now_seconds: float
     ) -> frozenset[str]:
         """Return the ids of the cold ones among the given targets."""
-        if not self.cold.are_any(now_seconds):
+        if not self.cold.has_cold_targets(now_seconds):
             return frozenset()
         return frozenset(
             entry.row.target_id
@@ -114,32 +114,32 @@
             if self.cold.is_cold(entry, now_seconds)
         )
 
-    def cold_rates_requests(self, now_seconds: float) -> dict[int, float]:
+    def cold_rates(self, now_seconds: float) -> dict[int, float]:
         """Return the requests a second that cold targets accept, by short name.
 
         Only of cold targets that may get work.
         """
         rates = {}
         for entry in self._cold_targets(now_seconds):
-            rate_requests = self.cold.rate_requests(entry, now_seconds)
-            if rate_requests is not None:
-                rates[short_name(entry.row.target_id)] = rate_requests
+            requests_per_second = self.cold.requests_per_second(entry, now_seconds)
+            if requests_per_second is not None:
+                rates[short_name(entry.row.target_id)] = requests_per_second
         return rates
 
     def lacks_permits(self, now_seconds: float) -> bool:
         """Return whether this router has no permit for some cold target."""
         return any(
-            not self.cold.may_send(entry, now_seconds)
+            not self.cold.has_permit(entry, now_seconds)
             for entry in self._cold_targets(now_seconds)
         )
 
     def use_permit(self, entry: HeartbeatEntry, now_seconds: float) -> bool:
         """Use a permit if the target of a request is cold; return whether it is."""
-        is_cold = self.cold.are_any(now_seconds) and self.cold.is_cold(
+        is_cold = self.cold.has_cold_targets(now_seconds) and self.cold.is_cold(
             entry, now_seconds
         )
         if is_cold:
-            self.cold.sent(entry)
+            self.cold.record_sent(entry)
         return is_cold
 
     def no_target_reason(
@@ -175,7 +175,7 @@
 
         Those in evacuated data centres get none, and cold ones almost none.
         """
-        if not self._evacuated and not self.cold.are_any(now_seconds):
+        if not self._evacuated and not self.cold.has_cold_targets(now_seconds):
             return 1.0
         ready = len(self._ready_targets(services))
         available = sum(
@@ -194,7 +194,7 @@
 
     def _cold_targets(self, now_seconds: float) -> list[HeartbeatEntry]:
         """Return the cold targets that may get work."""
-        if not self.cold.are_any(now_seconds):
+        if not self.cold.has_cold_targets(now_seconds):
             return []
         self._refresh_index()
         found = chain.from_iterable(self._by_service.values())
--- a/sesameford/gateway/cold_targets.py
+++ b/sesameford/gateway/cold_targets.py
@@ -1,9 +1,9 @@
-"""Which targets are cold, as one router sees it, and what it may send them.
+"""The cold targets that one router sees, and its permits to send them requests.
 
-A target that has just started takes few requests in a second from the whole fleet,
-and ends again under more. Routers don't count each other's requests, so each may send
-a cold target only what a replica has permitted it; see ``cold_permits``. Without a
-permit nothing is sent there, so what a router does not hear can't break the bound.
+A target that has just started handles few requests a second from the whole fleet, and
+crashes under more. Routers don't count each other's requests, so each may send a cold
+target only what a replica has permitted; see ``cold_permits``. Without a permit it
+sends nothing there, so messages that are lost or late can't break the bound.
 """
 
 from collections.abc import Collection, Mapping
@@ -16,14 +16,14 @@
 )
 from sesameford.effective import ServiceSettings
 
-# A permit counts for so long from when its router asked, by the router's own clock, so
-# one that was held up on its way is worth nothing.
-PERMIT_SECONDS = 0.5
+# A permit is valid for this long from when its router requested it, by the router's own
+# clock, so a delayed permit has expired on arrival.
+PERMIT_VALID_SECONDS = 0.5
 
 
 @dataclass(slots=True)
 class ColdTargets:
-    """The cold ones among a table's targets; made by ``make_cold_targets``.
+    """The cold targets of a table; made by ``make_cold_targets``.
 
     ``requests_sent`` counts the requests for which a permit was used.
     """
@@ -31,7 +31,7 @@
     table: HeartbeatTable
     _services: Mapping[str, ServiceSettings] = field(default_factory=dict)
     _restored_at_seconds: dict[str, float] = field(default_factory=dict)
-    _until_seconds: float = float("-inf")
+    _restored_until_seconds: float = float("-inf")
     _permits: dict[int, float] = field(default_factory=dict)
     requests_sent: int = 0
 
@@ -41,67 +41,76 @@
         restored: frozenset[str],
         now_seconds: float,
     ) -> None:
-        """Take services that come into force, and data centres just restored.
+        """Apply new settings.
 
-        Targets of a data centre that is restored may have grown cold shortly
-        before, and their heartbeats say so only later.
+        Targets of a restored data centre may have become cold shortly before, and
+        their heartbeats report that only later.
+
+        Args:
+            services: The settings in force, by service.
+            restored: Data centres whose evacuation has just ended.
+            now_seconds: The present time.
         """
         self._services = services
-        longest_seconds = max(
+        max_cold_start_seconds = max(
             (one.cold_start_seconds for one in services.values()), default=0.0
         )
         for data_centre in restored:
             self._restored_at_seconds[data_centre] = now_seconds
-            self._until_seconds = now_seconds + longest_seconds
+            self._restored_until_seconds = now_seconds + max_cold_start_seconds
 
-    def are_any(self, now_seconds: float) -> bool:
-        """Return whether any target can be cold."""
-        return now_seconds < max(self._until_seconds, self.table.cold_until_seconds)
+    def has_cold_targets(self, now_seconds: float) -> bool:
+        """Return whether any target may be cold."""
+        return now_seconds < max(
+            self._restored_until_seconds, self.table.cold_until_seconds
+        )
 
-    def rate_requests(self, known: HeartbeatEntry, now_seconds: float) -> float | None:
-        """Return what a target takes in a second; None if it is not cold."""
-        service = self._services.get(known.row.service)
+    def requests_per_second(
+        self, entry: HeartbeatEntry, now_seconds: float
+    ) -> float | None:
+        """Return how many requests a second a cold target accepts, None if warm."""
+        service = self._services.get(entry.row.service)
         if service is None or service.cold_requests_per_second is None:
             return None
         restored_at_seconds = self._restored_at_seconds.get(
-            known.row.data_centre, float("-inf")
+            entry.row.data_centre, float("-inf")
         )
         until_seconds = max(
-            known.cold_until_seconds, restored_at_seconds + service.cold_start_seconds
+            entry.cold_until_seconds, restored_at_seconds + service.cold_start_seconds
         )
         return service.cold_requests_per_second if now_seconds < until_seconds else None
 
-    def is_cold(self, known: HeartbeatEntry, now_seconds: float) -> bool:
+    def is_cold(self, entry: HeartbeatEntry, now_seconds: float) -> bool:
         """Return whether a target is cold."""
-        return self.rate_requests(known, now_seconds) is not None
+        return self.requests_per_second(entry, now_seconds) is not None
 
-    def take(
-        self, names: Collection[int], asked_at_seconds: float, now_seconds: float
+    def record_permits(
+        self, names: Collection[int], requested_at_seconds: float, now_seconds: float
     ) -> None:
-        """Take permits for one request to each of some targets.
+        """Store permits for one request to each of some targets.
 
         Args:
             names: The targets' short names.
-            asked_at_seconds: When this router asked for them.
+            requested_at_seconds: When this router requested them.
             now_seconds: The present time.
         """
-        until_seconds = asked_at_seconds + PERMIT_SECONDS
+        until_seconds = requested_at_seconds + PERMIT_VALID_SECONDS
         if now_seconds < until_seconds:
             self._permits.update(dict.fromkeys(names, until_seconds))
 
-    def may_send(self, known: HeartbeatEntry, now_seconds: float) -> bool:
-        """Return whether there is a permit for a target."""
-        name = short_name(known.row.target_id)
+    def has_permit(self, entry: HeartbeatEntry, now_seconds: float) -> bool:
+        """Return whether this router has a valid permit for a target."""
+        name = short_name(entry.row.target_id)
         return now_seconds < self._permits.get(name, float("-inf"))
 
-    def sent(self, known: HeartbeatEntry) -> None:
-        """Use up the permit for a target."""
+    def record_sent(self, entry: HeartbeatEntry) -> None:
+        """Record a request to a target, which uses up the permit."""
         self.requests_sent += 1
-        self._permits.pop(short_name(known.row.target_id), None)
+        self._permits.pop(short_name(entry.row.target_id), None)
 
 
 def make_cold_targets(table: HeartbeatTable) -> ColdTargets:
-    """Return what is known of cold targets before any tree is in force.
+    """Return the state before any tree is in force.
 
     Args:
         table: The targets.
--- a/sesameford/gateway/fleet_sums.py
+++ b/sesameford/gateway/fleet_sums.py
@@ -1,18 +1,18 @@
-"""The sums of the fleet at one replica, and the shares that follow from them.
-
-Each router reports to one replica, in a large fleet to one of its own data centre. A
-replica adds up the reports that it gets, exchanges these sums with the other replicas
-that do so too, and sends its routers what the whole fleet has under way. So what one
-replica reads and sends grows with the routers of its data centre, and between data
-centres one message goes for all of them. Were each replica to work out shares from its
-own routers alone, a customer behind a few routers would be let in without a limit, and
-get twice what all others get. One notices that in ``shares limited`` lines of two
-replicas in one second, which then name different numbers of routers.
-
-Sums are marked as whole only once it can be known that they are. After a start, or
-after the process stood still, a replica has heard of no more routers than those that
-report to it. By sums of the first few nobody asks for much: routers would let
-everything in for a moment, and all prompts wait behind that for seconds.
+"""The fleet's loads summed at one replica, and the shares computed from them.
+
+Each router reports to one replica, the aggregator; in a large fleet to one of its own
+data centre. An aggregator sums the reports that it receives, exchanges these sums with
+the other aggregators, and sends its routers the load of the whole fleet. So the traffic
+of one replica grows with the routers of its data centre only, and one message between
+two data centres carries the sums of all routers of one. If each replica computed shares
+from its own routers alone, a customer with few routers would be admitted without a
+limit, and get twice as much as all others. The sign of that would be ``shares limited``
+lines of two replicas in one second that name different numbers of routers.
+
+Sums are marked as whole only when the replica can know that they are. After a start, or
+after the process stood still, a replica knows only the routers that report to it. By
+the sums of the first few routers demand is low: routers would admit everything, and all
+prompts would wait for seconds behind that.
 """
 
 import logging
@@ -22,12 +22,15 @@
 from msgspec.structs import replace
 
 from sesameford.gateway.cold_permits import ColdPermits, make_cold_permits
-from sesameford.gateway.load_report import at_least_seconds, report_seconds
+from sesameford.gateway.load_report import (
+    max_report_interval_seconds,
+    report_interval_seconds,
+)
 from sesameford.gateway.router_loads import (
     make_router_loads,
-    outcomes_added_up,
-    places_added_up,
-    places_without,
+    subtract_target_loads,
+    sum_outcomes,
+    sum_target_loads,
 )
 from sesameford.gateway.shares import make_share_table
 from sesameford.gateway.target_outcomes import make_target_outcome_table
@@ -44,36 +47,39 @@
 
 logger = logging.getLogger(__name__)
 
-# Sums of this part of the routers that live are whole. One that has just started is
-# heard before it reports, and in a large fleet there often is one.
+# Sums that contain this part of the live routers count as whole. A router that has just
+# started is live before it reports, and a large fleet often has one.
 COMPLETE_PART = 0.97
-# While more routers that live are in no sum, those of the others are taken for all of
-# the fleet only after so long: routers whose replica lacks a part of the fleet turn to
-# one common replica meanwhile, and only those that can't are left out in the end.
+# While more live routers are missing, sums count as whole only after this time.
+# Meanwhile routers whose replica lacks a part of the fleet turn to one common replica,
+# so that finally only those that can't reach it are left out.
 SETTLING_SECONDS = 2.0
-# A replica that stood still for longer than this many reports was passed over by its
-# routers, and what it knows of the fleet is old.
+# If a replica stood still for more than this many report intervals, its routers have
+# excluded it, and its data on the fleet is outdated.
 MISSED_REPORTS = 2.5
-# An instance counts as living that was heard within two heartbeats and a half second.
-HEARD_SECONDS = 1.5
-# Sums of another replica that no longer come count for so long. Its routers have turned
-# to others by then and would be counted twice.
+# An instance is live if a heartbeat arrived within this time: two heartbeat intervals
+# and half a second.
+INSTANCE_LIVE_SECONDS = 1.5
+# Sums of another replica expire after this time. Its routers have turned to other
+# replicas by then and would be counted twice.
 PARTIAL_VALID_SECONDS = 1.0
-# Replicas exchange sums so often for each other one there is, so that what they read of
-# each other does not grow with the square of their number.
-EXCHANGE_SECONDS_A_REPLICA = 0.02
-# Rows of what was sent to engines that one message carries, some forty bytes each.
-# Where more come between two messages the oldest are dropped: each router would be sent
-# all requests of the fleet, which grows with the square of it. Whoever does not know
-# that an engine keeps a part sends it elsewhere, which costs time and no promise.
-MOST_USED_ROWS = 64
+# The interval of the exchange of sums, for each other replica. It grows with their
+# number so that the traffic does not grow with its square.
+EXCHANGE_SECONDS_PER_REPLICA = 0.02
+# The most rows of parts sent to engines in one message, some forty bytes each. If there
+# are more, the oldest are dropped: sending all requests of the fleet to each router
+# would make the traffic grow with the square of the fleet. A router that does not know
+# that an engine has a part in its cache sends the prompt elsewhere, which costs time
+# but breaks no guarantee.
+MAX_USED_ROWS = 64
 
 
 @dataclass(frozen=True, slots=True)
 class LiveInstances:
-    """Who is heard of the others, each within so many seconds before a time.
+    """The other live instances.
 
-    ``near_replicas`` are those of the own data centre.
+    Each function takes the present time and the longest time since the last heartbeat,
+    both in seconds. ``near_replicas`` are those of the own data centre.
     """
 
     replicas: Callable[[float, float], Collection[str]]
@@ -82,23 +88,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TargetsNow:
-    """What a replica knows of the targets of engines.
+class TargetAvailability:
+    """How far the engines accept work at present.
 
-    ``cold_rates_requests`` are what cold ones take in a second, by short name; the
-    ``available_part`` of all is neither cold nor evacuated.
+    ``cold_rates`` are the requests a second that cold ones accept, by short name;
+    ``available_part`` is the part of all that is neither cold nor evacuated.
     """
 
-    cold_rates_requests: Mapping[int, float] = field(default_factory=dict)
+    cold_rates: Mapping[int, float] = field(default_factory=dict)
     available_part: float = 1.0
 
 
-ALL_WARM = TargetsNow()
+ALL_WARM = TargetAvailability()
 
 
 @dataclass(frozen=True, slots=True)
-class _Partial:
-    """The newest sums of another replica."""
+class _ReplicaSums:
+    """The last sums received from another replica."""
 
     load: PartialLoad
     at_seconds: float
@@ -108,8 +114,8 @@
     """The sums at one replica.
 
     Args:
-        live: Which other instances are heard.
-        permits: What routers may send to cold targets.
+        live: The other live instances.
+        permits: Grants permits for cold targets.
     """
 
     def __init__(self, live: LiveInstances, permits: ColdPermits) -> None:
@@ -118,39 +124,41 @@
         self.failing: tuple[FailingTarget, ...] = ()
         self._live = live
         self._loads = make_router_loads()
-        self._partials: dict[str, _Partial] = {}
+        self._partials: dict[str, _ReplicaSums] = {}
         self._used: list[tuple[str, UsedParts]] = []
-        self._used_here: list[UsedParts] = []
+        self._unexchanged_used: list[UsedParts] = []
         self._outcomes = make_target_outcome_table()
-        self._outcomes_here: list[TargetOutcomes] = []
+        self._unexchanged_outcomes: list[TargetOutcomes] = []
         self._is_changed = False
         self._next_seconds = 0.0
         self._at_latest_seconds = 0.0
         self._next_exchange_seconds = 0.0
         self._last_tick_seconds = float("-inf")
-        self._awake_since_seconds = float("-inf")
+        self._running_since_seconds = float("-inf")
         self._incomplete_since_seconds: float | None = None
 
-    def received(self, router_id: str, load: RouterLoad, now_seconds: float) -> None:
-        """Take a router's report."""
-        self._loads.received(router_id, load, now_seconds)
+    def handle_report(
+        self, router_id: str, load: RouterLoad, now_seconds: float
+    ) -> None:
+        """Handle a router's report."""
+        self._loads.record_report(router_id, load, now_seconds)
         self._used += [(router_id, row) for row in load.used]
-        self._used_here += load.used
-        self._outcomes.add(load.outcomes)
-        self._outcomes_here += load.outcomes
+        self._unexchanged_used += load.used
+        self._outcomes.record_outcomes(load.outcomes)
+        self._unexchanged_outcomes += load.outcomes
         self._is_changed = True
 
-    def ended(self, router_id: str) -> None:
-        """Drop a router that reports to another replica from now on."""
-        self._loads.ended(router_id)
+    def handle_handover(self, router_id: str) -> None:
+        """Remove a router that now reports to another replica."""
+        self._loads.remove_router(router_id)
 
-    def received_partial(
+    def handle_partial(
         self, sender_id: str, load: PartialLoad, now_seconds: float
     ) -> None:
-        """Take the sums of another replica."""
-        self._partials[sender_id] = _Partial(load, now_seconds)
+        """Handle the sums of another replica."""
+        self._partials[sender_id] = _ReplicaSums(load, now_seconds)
         self._used += [(sender_id, row) for row in load.used]
-        self._outcomes.add(load.outcomes)
+        self._outcomes.record_outcomes(load.outcomes)
         self._is_changed = True
 
     @property
@@ -161,70 +169,72 @@
     def tick(
         self,
         declared_tokens: float | None,
-        wanted_wait_seconds: float,
+        base_wait_seconds: float,
         now_seconds: float,
-        targets: TargetsNow = ALL_WARM,
+        targets: TargetAvailability = ALL_WARM,
     ) -> list[Outgoing]:
-        """Bring sums and shares up to date where that is due.
+        """Update sums and shares if they are due.
 
         Args:
             declared_tokens: What all engines produce a second, None if not known.
-            wanted_wait_seconds: How long prompts may wait on average.
+            base_wait_seconds: The least limit of the average wait of prompts.
             now_seconds: The present time.
-            targets: Which targets are cold, and which part of all takes work.
+            targets: The cold targets, and the part of all that accepts work.
 
         Returns:
-            What routers and other replicas are sent.
+            Messages for routers and other replicas.
         """
-        self._note_wake(now_seconds)
-        self._loads.forget_silent(now_seconds)
-        self._forget_partials(now_seconds)
+        self._detect_pause(now_seconds)
+        self._loads.remove_expired(now_seconds)
+        self._remove_expired_partials(now_seconds)
         if not self.has_routers:
             self._used.clear()
-            self._forget_news_here()
+            self._clear_unexchanged()
             self._incomplete_since_seconds = None
             return []
-        live_routers = self._live.routers(now_seconds, HEARD_SECONDS)
-        exchanged = self._exchange(live_routers, now_seconds)
+        live_routers = self._live.routers(now_seconds, INSTANCE_LIVE_SECONDS)
+        exchanged = self._make_exchange(live_routers, now_seconds)
         if not self._is_due(now_seconds):
             return exchanged
         direct_routers = len(self._loads.router_ids)
         self._is_changed = False
-        self._next_seconds = now_seconds + report_seconds(direct_routers)
-        self._at_latest_seconds = now_seconds + at_least_seconds(direct_routers)
+        self._next_seconds = now_seconds + report_interval_seconds(direct_routers)
+        self._at_latest_seconds = now_seconds + max_report_interval_seconds(
+            direct_routers
+        )
         sums = self._sums(
-            declared_tokens, wanted_wait_seconds, targets, live_routers, now_seconds
+            declared_tokens, base_wait_seconds, targets, live_routers, now_seconds
         )
-        permits = self.permits.give(
-            targets.cold_rates_requests, self._loads.asking(), now_seconds
+        permits = self.permits.grant(
+            targets.cold_rates, self._loads.list_permit_requesters(), now_seconds
         )
-        return exchanged + self._answers(sums, permits)
+        return exchanged + self._make_answers(sums, permits)
 
     def _sums(
         self,
         declared_tokens: float | None,
-        wanted_wait_seconds: float,
-        targets: TargetsNow,
+        base_wait_seconds: float,
+        targets: TargetAvailability,
         live_routers: int,
         now_seconds: float,
     ) -> FleetLoad:
-        """Return the sums of all routers that are known, and what follows from them."""
+        """Return the sums and shares of all routers whose reports are known."""
         loads = [self._loads.sums(), *(one.load for one in self._partials.values())]
         known_routers = sum(load.routers for load in loads)
         routers = max(known_routers, live_routers)
         if declared_tokens is not None:
-            # Routers in no sum ask too; their part of the capacity is left to them.
+            # Routers that are in no sum have demand too, so their part is set aside.
             declared_tokens *= known_routers / routers
         self.shares.tick(
             loads,
             declared_tokens,
-            wanted_wait_seconds,
+            base_wait_seconds,
             now_seconds,
             targets.available_part,
         )
-        self.failing = self._outcomes.failing(now_seconds)
+        self.failing = self._outcomes.failing_targets(now_seconds)
         return FleetLoad(
-            places_added_up(load.target_loads for load in loads),
+            sum_target_loads(load.target_loads for load in loads),
             routers,
             self.shares.rows(),
             is_whole=self._is_whole(known_routers, live_routers, now_seconds),
@@ -238,24 +248,24 @@
             return True
         return self._is_changed and now_seconds >= self._next_seconds
 
-    def _answers(
+    def _make_answers(
         self, sums: FleetLoad, permits: Mapping[str, Sequence[int]]
     ) -> list[Outgoing]:
-        """Return the sums for each router, without what it reported itself."""
-        used, self._used = self._used[-MOST_USED_ROWS:], []
+        """Return the sums for each router, without its own reports."""
+        used, self._used = self._used[-MAX_USED_ROWS:], []
         return [
             Outgoing(
                 router_id,
                 replace(
                     sums,
-                    target_loads=places_without(
-                        sums.target_loads, self._loads.places_of(router_id)
+                    target_loads=subtract_target_loads(
+                        sums.target_loads, self._loads.target_loads_of(router_id)
                     ),
                     used=tuple(
                         row for sender_id, row in used if sender_id != router_id
                     ),
                     permits=tuple(permits.get(router_id, ())),
-                    permits_requested_milliseconds=self._loads.asked_milliseconds(
+                    permits_requested_milliseconds=self._loads.permits_requested_milliseconds(
                         router_id
                     ),
                 ),
@@ -264,62 +274,65 @@
             for router_id in self._loads.router_ids
         ]
 
-    def _exchange(self, live_routers: int, now_seconds: float) -> list[Outgoing]:
-        """Return the sums of this replica's routers for the others that add up too.
+    def _make_exchange(self, live_routers: int, now_seconds: float) -> list[Outgoing]:
+        """Return the sums of this replica's routers for the other aggregators.
 
-        Those that are not known to do so only hear that this one does, while some
-        routers report elsewhere. So nothing is exchanged where all report here.
+        While some routers report elsewhere, replicas that are not known as aggregators
+        get an empty message, which announces this one. So nothing is exchanged while
+        all routers report here.
         """
         if now_seconds < self._next_exchange_seconds:
             return []
-        others = self._live.replicas(now_seconds, HEARD_SECONDS)
-        self._next_exchange_seconds = now_seconds + EXCHANGE_SECONDS_A_REPLICA * max(
+        others = self._live.replicas(now_seconds, INSTANCE_LIVE_SECONDS)
+        self._next_exchange_seconds = now_seconds + EXCHANGE_SECONDS_PER_REPLICA * max(
             len(others), 1
         )
-        hears_all = len(self._loads.router_ids) >= live_routers
-        adding = [one for one in others if one in self._partials]
+        has_all_reports = len(self._loads.router_ids) >= live_routers
+        aggregators = [one for one in others if one in self._partials]
         outgoing = []
-        if adding:
-            used = tuple(self._used_here[-MOST_USED_ROWS:])
-            load = self._loads.sums(used, outcomes_added_up(self._outcomes_here))
-            outgoing = [Outgoing(one, load, urgent=True) for one in adding]
-        if not hears_all:
+        if aggregators:
+            used = tuple(self._unexchanged_used[-MAX_USED_ROWS:])
+            load = self._loads.sums(used, sum_outcomes(self._unexchanged_outcomes))
+            outgoing = [Outgoing(one, load, urgent=True) for one in aggregators]
+        if not has_all_reports:
             silent = [one for one in others if one not in self._partials]
             outgoing += [Outgoing(one, PartialLoad(), urgent=True) for one in silent]
-        self._forget_news_here()
+        self._clear_unexchanged()
         return outgoing
 
-    def _forget_news_here(self) -> None:
-        """Drop what routers have reported here since the last exchange."""
-        self._used_here.clear()
-        self._outcomes_here.clear()
+    def _clear_unexchanged(self) -> None:
+        """Delete what routers have reported here since the last exchange."""
+        self._unexchanged_used.clear()
+        self._unexchanged_outcomes.clear()
 
-    def _forget_partials(self, now_seconds: float) -> None:
+    def _remove_expired_partials(self, now_seconds: float) -> None:
         for sender_id, one in list(self._partials.items()):
             if now_seconds - one.at_seconds > PARTIAL_VALID_SECONDS:
                 del self._partials[sender_id]
 
-    def _note_wake(self, now_seconds: float) -> None:
-        """Begin anew after a start, or after this process stood still for long."""
+    def _detect_pause(self, now_seconds: float) -> None:
+        """Reset the start of the sums if this process has started or stood still."""
         since_seconds = now_seconds - self._last_tick_seconds
         self._last_tick_seconds = now_seconds
-        usual_seconds = at_least_seconds(len(self._loads.router_ids))
+        usual_seconds = max_report_interval_seconds(len(self._loads.router_ids))
         if since_seconds <= MISSED_REPORTS * usual_seconds:
             return
-        self._awake_since_seconds = now_seconds
+        self._running_since_seconds = now_seconds
         self._incomplete_since_seconds = None
-        logger.info("adds up anew", extra={"stood_still_seconds": since_seconds})
+        logger.info(
+            "aggregation restarted", extra={"stood_still_seconds": since_seconds}
+        )
 
     def _is_whole(
         self, known_routers: int, live_routers: int, now_seconds: float
     ) -> bool:
-        """Return whether sums are of all routers, as far as can be known."""
+        """Return whether sums contain all routers, as far as this replica can know."""
         is_incomplete = known_routers < COMPLETE_PART * live_routers
         if not is_incomplete:
             self._incomplete_since_seconds = None
         elif self._incomplete_since_seconds is None:
             self._incomplete_since_seconds = now_seconds
-        if now_seconds - self._awake_since_seconds <= HEARD_SECONDS:
+        if now_seconds - self._running_since_seconds <= INSTANCE_LIVE_SECONDS:
             return False
         since_seconds = self._incomplete_since_seconds
         return since_seconds is None or now_seconds - since_seconds > SETTLING_SECONDS
@@ -331,7 +344,7 @@
     """Return the sums of a replica that has just started.
 
     Args:
-        live: Which other instances are heard.
-        permits: What routers may send to cold targets; None where none grow cold.
+        live: The other live instances.
+        permits: Grants permits for cold targets; None if targets are never cold.
     """
     return FleetSums(live, permits or make_cold_permits(ColdBoundSettings(), 1))
--- a/sesameford/gateway/gateway_node.py
+++ b/sesameford/gateway/gateway_node.py
@@ -384,7 +384,7 @@
         )
         if self._own.has_disk:
             shares = self.load.shares
-            self.metrics.set_level("cold_permits", self.load.permits_given)
+            self.metrics.set_level("cold_permits", self.load.granted_permits)
             self.metrics.set_level("share_capacity_tokens", shares.capacity_tokens)
             self.metrics.set_level("share_routers", shares.routers)
             self.metrics.set_level("share_limited_customers", len(shares.fractions))
@@ -435,13 +435,13 @@
                 if message.token in self._rows_acks:
                     self._rows_acks[message.token].set()
             case RouterLoad():
-                self.load.received(sender_id, message, now_seconds)
+                self.load.handle_report(sender_id, message, now_seconds)
             case RouterLoadHandover():
-                self.load.ended(sender_id)
+                self.load.handle_handover(sender_id)
             case PartialLoad():
-                self.load.received_partial(sender_id, message, now_seconds)
+                self.load.handle_partial(sender_id, message, now_seconds)
             case FleetLoad():
-                self.load.heard(sender_id, message, now_seconds)
+                self.load.handle_fleet_load(sender_id, message, now_seconds)
             case TreeSteps() | TreeSnapshot() | TreeRequest():
                 self._tree.received(sender_id, message)
             case LogPayload() | ProposalRequest() | ProposalReply():
--- a/sesameford/gateway/load_report.py
+++ b/sesameford/gateway/load_report.py
@@ -1,88 +1,93 @@
-"""What a router reports of its work, and what it knows of the fleet's."""
+"""The timing of a router's load reports, and the age of the fleet's sums there."""
 
 from sesameford.load_messages import FleetLoad, TargetLoad
 
-# What a router reports, and what it is sent of the fleet, counts for so long.
+# A router's report, and the fleet's sums at a router, expire after this time.
 REPORT_VALID_SECONDS = 1.6
-# What changed is reported this often while few routers report to one replica. An engine
-# reads some thousand tokens meanwhile, which is what routers can err by.
+# The interval of reports of changed loads while few routers report to one replica. An
+# engine reads some thousand tokens in this time, so routers err by as much.
 REPORT_SECONDS = 0.02
-# More routers report less often, so that their replica gets at most some five hundred
-# messages a second.
-REPORT_SECONDS_A_ROUTER = 0.002
-# A router reports at least this often, so that it is counted as living, and is answered
-# as often.
-AT_LEAST_SECONDS = 0.2
+# With more routers the interval grows, so that their replica receives at most some five
+# hundred messages a second.
+REPORT_INTERVAL_SECONDS_PER_ROUTER = 0.002
+# A router reports at least this often, which shows that it is live, and is answered as
+# often.
+MAX_REPORT_INTERVAL_SECONDS = 0.2
 
 
 class LoadReport:
-    """When a router reports next, and the newest sums that it was sent."""
+    """When a router's next report is due, and when it received sums last."""
 
     def __init__(self) -> None:
         self.routers = 1
         self._direct_routers = 1
-        self._last_places: tuple[TargetLoad, ...] = ()
+        self._last_target_loads: tuple[TargetLoad, ...] = ()
         self._next_seconds = 0.0
         self._at_latest_seconds = 0.0
         self._last_seen_at_seconds = float("-inf")
 
     def may_report(self, now_seconds: float) -> bool:
-        """Return whether a report can be due, before anything is worked out for it."""
+        """Return whether a report may be due, before its content is computed."""
         return now_seconds >= min(self._next_seconds, self._at_latest_seconds)
 
-    def is_due(self, places: tuple[TargetLoad, ...], now_seconds: float) -> bool:
-        """Return whether there is something to report.
+    def is_due(self, target_loads: tuple[TargetLoad, ...], now_seconds: float) -> bool:
+        """Return whether the load has changed or the longest interval is over.
 
         Args:
-            places: What is under way here.
+            target_loads: This router's load at each target.
             now_seconds: The present time.
         """
-        return now_seconds >= self._at_latest_seconds or places != self._last_places
-
-    def reported(self, places: tuple[TargetLoad, ...], now_seconds: float) -> None:
-        """Note that a report leaves now."""
-        self._last_places = places
-        self._next_seconds = now_seconds + report_seconds(self._direct_routers)
-        self._at_latest_seconds = now_seconds + self.at_least_seconds()
-
-    def heard(self, fleet: FleetLoad, now_seconds: float) -> None:
-        """Note that the sums of the fleet have come."""
+        return (
+            now_seconds >= self._at_latest_seconds
+            or target_loads != self._last_target_loads
+        )
+
+    def record_report(
+        self, target_loads: tuple[TargetLoad, ...], now_seconds: float
+    ) -> None:
+        """Record that a report is sent now."""
+        self._last_target_loads = target_loads
+        self._next_seconds = now_seconds + report_interval_seconds(self._direct_routers)
+        self._at_latest_seconds = now_seconds + self.max_report_interval_seconds()
+
+    def record_fleet_load(self, fleet: FleetLoad, now_seconds: float) -> None:
+        """Record that the sums of the fleet have arrived."""
         if fleet.is_whole:
             self.routers = max(fleet.routers, 1)
         self._direct_routers = max(fleet.direct_routers, 1)
         self._last_seen_at_seconds = now_seconds
 
-    def is_alone(self, now_seconds: float) -> bool:
-        """Return whether a router has had no sums for so long that it is cut off."""
+    def is_isolated(self, now_seconds: float) -> bool:
+        """Return whether the sums have expired: no replica is reachable."""
         return self.age_seconds(now_seconds) > REPORT_VALID_SECONDS
 
     def age_seconds(self, now_seconds: float) -> float:
-        """Return how old the sums of the fleet are at this router."""
+        """Return the age of the fleet's sums at this router."""
         return now_seconds - self._last_seen_at_seconds
 
-    def at_least_seconds(self) -> float:
-        """Return how often something is reported in any case."""
-        return at_least_seconds(self._direct_routers)
+    def max_report_interval_seconds(self) -> float:
+        """Return the interval of reports while the load does not change."""
+        return max_report_interval_seconds(self._direct_routers)
 
 
-def report_seconds(direct_routers: int) -> float:
-    """Return how often what changed is reported to a replica, and is sent back.
+def report_interval_seconds(direct_routers: int) -> float:
+    """Return the interval of reports to a replica, and of its answers, on changes.
 
     Args:
         direct_routers: How many routers report to it.
     """
-    return max(REPORT_SECONDS, REPORT_SECONDS_A_ROUTER * direct_routers)
+    return max(REPORT_SECONDS, REPORT_INTERVAL_SECONDS_PER_ROUTER * direct_routers)
 
 
-def at_least_seconds(direct_routers: int) -> float:
-    """Return how often something is reported and sent back in any case.
+def max_report_interval_seconds(direct_routers: int) -> float:
+    """Return the interval of reports and answers without changes.
 
-    In a large fleet no more often than what changed: reports of routers that are idle
-    would else be most of what a replica gets.
+    In a large fleet it is as long as the interval with changes. Otherwise most messages
+    that a replica receives would be reports of idle routers.
     """
-    return max(AT_LEAST_SECONDS, report_seconds(direct_routers))
+    return max(MAX_REPORT_INTERVAL_SECONDS, report_interval_seconds(direct_routers))
 
 
 def make_load_report() -> LoadReport:
-    """Return the reporting of a router that has reported nothing yet."""
+    """Return the state of a router that has reported nothing yet."""
     return LoadReport()
--- a/sesameford/gateway/load_system.py
+++ b/sesameford/gateway/load_system.py
@@ -1,4 +1,4 @@
-"""What an instance reports of its work, what it is sent, and shares that follow."""
+"""Load reports and customers' shares at one instance."""
 
 import logging
 from collections.abc import Callable
@@ -9,10 +9,10 @@
 from sesameford.gateway.cold_permits import ColdPermits
 from sesameford.gateway.fleet_sums import (
     ALL_WARM,
-    HEARD_SECONDS,
+    INSTANCE_LIVE_SECONDS,
     MISSED_REPORTS,
     LiveInstances,
-    TargetsNow,
+    TargetAvailability,
     make_fleet_sums,
 )
 from sesameford.gateway.load_report import (
@@ -34,17 +34,16 @@
 
 logger = logging.getLogger(__name__)
 
-# How often what shares do is logged; the rule that nobody gets far less than others is
-# checked by the second.
-LOGGED_AGAIN_SECONDS = 0.9
-# How long prompts may wait on average at the least, as a part of the shortest
-# objective: the rest is for reading the prompt itself and for what waits longer than
-# the average.
-WAIT_PART = 0.35
+# The interval of log lines on shares, below a second: whether a customer gets far less
+# than others is checked for each second.
+LOG_INTERVAL_SECONDS = 0.9
+# The least limit of the average wait of prompts, as a part of the shortest objective.
+# The rest is for reading the prompt itself and for waits longer than the average.
+BASE_WAIT_PART = 0.35
 
 
 class LoadSystem:
-    """Loads and shares at one instance, a router or a replica that adds up."""
+    """Loads and shares at one instance: a router that reports, or an aggregator."""
 
     def __init__(
         self,
@@ -67,34 +66,36 @@
         self._sums = make_fleet_sums(live, permits)
         self._own_shares = make_share_table()
         self._send = send
-        self._was_alone = True
+        self._was_isolated = True
         self._whole_at_seconds = float("-inf")
         self._logged_at_seconds = float("-inf")
         self._was_limited = False
 
     @property
     def shares(self) -> ShareTable:
-        """Return the shares that are worked out here."""
+        """Return the shares that are computed here."""
         return self._sums.shares if self._has_disk else self._own_shares
 
     @property
-    def permits_given(self) -> int:
-        """Return how many permits for cold targets were given out here."""
-        return self._sums.permits.given
+    def granted_permits(self) -> int:
+        """Return how many permits for cold targets were granted here."""
+        return self._sums.permits.granted
 
-    def heard(self, sender_id: str, fleet: FleetLoad, now_seconds: float) -> None:
-        """Take what all other routers have under way, and the shares.
+    def handle_fleet_load(
+        self, sender_id: str, fleet: FleetLoad, now_seconds: float
+    ) -> None:
+        """Apply a replica's sums of all other routers' loads, and the shares.
 
-        Nothing is taken of a replica that gets no reports from here any more: its
-        sums go on for a while without this router, and taking turns between two would
-        let in what either does. Nor of one that knows only some routers: the sums of
-        before are whole, and count for as long as a report does.
+        Sums of a replica that this router no longer reports to are ignored: they
+        continue for a while without this router's load, and alternating between two
+        replicas would admit what either of them does. Sums that lack routers are
+        ignored while the last whole ones are no older than a report's validity.
         """
-        self._choice.heard(sender_id, fleet, now_seconds)
+        self._choice.record_answer(sender_id, fleet, now_seconds)
         if self._choice.chosen not in (None, sender_id):
             return
-        self.report.heard(fleet, now_seconds)
-        self._placement.candidates.cold.take(
+        self.report.record_fleet_load(fleet, now_seconds)
+        self._placement.candidates.cold.record_permits(
             fleet.permits, fleet.permits_requested_milliseconds / 1000, now_seconds
         )
         state = self._state()
@@ -108,57 +109,59 @@
             self._placement.set_other_routers_load(fleet.target_loads)
             self.gate.set_fractions(fleet.shares)
 
-    def received(self, router_id: str, load: RouterLoad, now_seconds: float) -> None:
-        """Take at a replica what a router reports."""
-        self._sums.received(router_id, load, now_seconds)
+    def handle_report(
+        self, router_id: str, load: RouterLoad, now_seconds: float
+    ) -> None:
+        """Handle a router's report at a replica."""
+        self._sums.handle_report(router_id, load, now_seconds)
 
-    def ended(self, router_id: str) -> None:
-        """Drop at a replica a router that reports to another one from now on."""
-        self._sums.ended(router_id)
+    def handle_handover(self, router_id: str) -> None:
+        """Remove at a replica a router that now reports to another one."""
+        self._sums.handle_handover(router_id)
 
-    def received_partial(
+    def handle_partial(
         self, sender_id: str, load: PartialLoad, now_seconds: float
     ) -> None:
-        """Take at a replica the sums of another one."""
-        self._sums.received_partial(sender_id, load, now_seconds)
+        """Handle the sums of another replica at a replica."""
+        self._sums.handle_partial(sender_id, load, now_seconds)
 
     def tick(self, now_seconds: float) -> None:
-        """Report what is under way here, or add up what others report."""
+        """Report this router's load, or at a replica sum what routers report."""
         self.lag.record_run(REPORT_SECONDS, now_seconds)
         if self._has_disk:
-            self._add_up(now_seconds)
+            self._aggregate(now_seconds)
         elif self.report.may_report(now_seconds):
             self._report(now_seconds)
 
-    def _add_up(self, now_seconds: float) -> None:
-        """Work shares out, and send routers and other replicas what is due."""
+    def _aggregate(self, now_seconds: float) -> None:
+        """Compute shares, and send due messages to routers and other replicas."""
         state = self._state()
         declared_tokens = None
-        wanted_wait_seconds = 0.0
+        base_wait_seconds = 0.0
         targets = ALL_WARM
         if state is not None:
             declared_tokens = state.tree.fleet.tokens_per_second
-            wanted_wait_seconds = WAIT_PART * state.shortest_objective_seconds
+            base_wait_seconds = BASE_WAIT_PART * state.shortest_objective_seconds
             candidates = self._placement.candidates
-            targets = TargetsNow(
-                candidates.cold_rates_requests(now_seconds),
+            targets = TargetAvailability(
+                candidates.cold_rates(now_seconds),
                 candidates.available_part(state.engine_services, now_seconds),
             )
         outgoing = self._sums.tick(
-            declared_tokens, wanted_wait_seconds, now_seconds, targets
+            declared_tokens, base_wait_seconds, now_seconds, targets
         )
         for one in outgoing:
             self._send(one)
 
     def _report(self, now_seconds: float) -> None:
-        """Report to one replica what is under way here, where that is news."""
-        self._note_source(now_seconds)
-        places = self._placement.loads(now_seconds)
+        """Report this router's load to one replica if a report is due."""
+        self._log_source(now_seconds)
+        target_loads = self._placement.loads(now_seconds)
         lacks_permits = self._placement.candidates.lacks_permits(now_seconds)
-        if not lacks_permits and not self.report.is_due(places, now_seconds):
+        if not lacks_permits and not self.report.is_due(target_loads, now_seconds):
             return
         load = RouterLoad(
-            places,
+            target_loads,
             self.gate.rows(now_seconds),
             round(self._wait_seconds(now_seconds), 4),
             round(self.gate.handled.tokens_per_second(now_seconds)),
@@ -168,20 +171,20 @@
             round(self.gate.timeliness.in_time_answers(now_seconds), 2),
             round(self.gate.timeliness.late_answers(now_seconds), 2),
         )
-        self.report.reported(places, now_seconds)
-        if self.report.is_alone(now_seconds):
-            self._share_alone(load, now_seconds)
-        replica = self._choose(now_seconds)
+        self.report.record_report(target_loads, now_seconds)
+        if self.report.is_isolated(now_seconds):
+            self._compute_own_shares(load, now_seconds)
+        replica = self._choose_replica(now_seconds)
         if replica is not None:
             self._send(Outgoing(replica, load, urgent=True))
 
-    def _choose(self, now_seconds: float) -> str | None:
-        """Return the replica to report to; one that is left hears of it."""
+    def _choose_replica(self, now_seconds: float) -> str | None:
+        """Return the replica to report to, and notify the previous one of a change."""
         before = self._choice.chosen
         chosen = self._choice.choose(
-            self._live.replicas(now_seconds, HEARD_SECONDS),
-            self._live.near_replicas(now_seconds, HEARD_SECONDS),
-            MISSED_REPORTS * self.report.at_least_seconds(),
+            self._live.replicas(now_seconds, INSTANCE_LIVE_SECONDS),
+            self._live.near_replicas(now_seconds, INSTANCE_LIVE_SECONDS),
+            MISSED_REPORTS * self.report.max_report_interval_seconds(),
             now_seconds,
         )
         if before not in (None, chosen):
@@ -189,7 +192,7 @@
         return chosen
 
     def _wait_seconds(self, now_seconds: float) -> float:
-        """Return how long a prompt waits on average over all services of engines."""
+        """Return the average wait of a prompt over all services of engines."""
         state = self._state()
         if state is None or not state.engine_services:
             return 0.0
@@ -201,11 +204,11 @@
         ]
         return sum(waits_seconds) / len(waits_seconds)
 
-    def _share_alone(self, load: RouterLoad, now_seconds: float) -> None:
-        """Work shares out from what is asked here, for when nobody else does.
+    def _compute_own_shares(self, load: RouterLoad, now_seconds: float) -> None:
+        """Compute shares from this router's own demand while it reaches no replica.
 
-        A router that is cut off from all replicas is sent no shares. Were it to let
-        everything in, one customer's flood would fill the engines for everybody.
+        An isolated router receives no shares. If it admitted everything, a burst of one
+        customer would fill the engines for all customers.
         """
         state = self._state()
         if state is None:
@@ -222,32 +225,32 @@
             in_time_answers=load.in_time_answers,
             late_answers=load.late_answers,
         )
-        wanted_wait_seconds = WAIT_PART * state.shortest_objective_seconds
-        self._own_shares.tick((own,), declared_tokens, wanted_wait_seconds, now_seconds)
+        base_wait_seconds = BASE_WAIT_PART * state.shortest_objective_seconds
+        self._own_shares.tick((own,), declared_tokens, base_wait_seconds, now_seconds)
         self.gate.set_fractions(self._own_shares.rows())
 
-    def _note_source(self, now_seconds: float) -> None:
-        """Log whether shares come from a replica or from what is asked here."""
-        is_alone = self.report.is_alone(now_seconds)
-        if is_alone != self._was_alone:
-            self._was_alone = is_alone
-            source = "what is asked here" if is_alone else "a replica"
+    def _log_source(self, now_seconds: float) -> None:
+        """Log a change between shares of a replica and shares from own demand."""
+        is_isolated = self.report.is_isolated(now_seconds)
+        if is_isolated != self._was_isolated:
+            self._was_isolated = is_isolated
+            source = "what is asked here" if is_isolated else "a replica"
             logger.warning("shares follow another source", extra={"source": source})
 
     def log_shares(self, now_seconds: float) -> None:
-        """Log each second which customers are limited here, and what they got."""
-        if now_seconds - self._logged_at_seconds < LOGGED_AGAIN_SECONDS:
+        """Log about each second the limited customers and what they were served."""
+        if now_seconds - self._logged_at_seconds < LOG_INTERVAL_SECONDS:
             return
         self._logged_at_seconds = now_seconds
         if not self._has_disk:
             self._log_served(now_seconds)
-        if self._has_disk or self._was_alone:
+        if self._has_disk or self._was_isolated:
             self._log_limited()
         if self._has_disk and self._sums.has_routers and self._sums.failing:
             self._log_failing()
 
     def _log_limited(self) -> None:
-        """Log what shares are worked out from here, and for how many routers."""
+        """Log the shares computed here, and the figures that they follow from."""
         shares = self.shares
         was_limited, self._was_limited = self._was_limited, bool(shares.fractions)
         if not was_limited and not shares.fractions:
@@ -268,16 +271,16 @@
         )
 
     def _log_failing(self) -> None:
-        """Log which targets fail part of what the whole fleet sends them."""
+        """Log the targets that fail a part of the whole fleet's requests."""
         parts = self._placement.failed_parts_by_id(self._sums.failing)
         text = ",".join(f"{one}:{part:.2f}" for one, part in sorted(parts.items()))
         logger.warning("targets fail in part", extra={"targets": text})
 
     def _log_served(self, now_seconds: float) -> None:
-        """Log whom shares are taken from, how old they are, and what they did.
+        """Log the source, age and effect of the shares that are applied here.
 
-        The refusals of a flooded router are too many for a line each; their number and
-        the longest lateness of the loop stand here.
+        The refusals of an overloaded router are too many for a line each, so this line
+        has their number and the longest lateness of the loop.
         """
         customers = self.gate.account.format_sums(self.gate.fractions)
         late_requests = self.gate.account.pop_late_requests()
@@ -309,12 +312,12 @@
     """Return the loads and shares of an instance.
 
     Args:
-        has_disk: Whether it is a replica, which adds up.
-        placement: What it has under way at targets.
-        state: What is in force.
-        live: Which other instances are heard.
+        has_disk: Whether it is a replica, which may be an aggregator.
+        placement: The targets and this instance's load there.
+        state: Returns the settings in force, None if there are none yet.
+        live: The other live instances.
         send: Sends a message.
-        random: Its own, with another seed at each instance.
-        permits: A replica's, for cold targets.
+        random: A generator of its own, with another seed at each instance.
+        permits: Grants a replica's permits for cold targets.
     """
     return LoadSystem(has_disk, placement, state, live, send, random, permits)
--- a/sesameford/gateway/route_table.py
+++ b/sesameford/gateway/route_table.py
@@ -1,4 +1,4 @@
-"""Which route a request takes: by its host, and the longest prefix of its path."""
+"""Routing of requests by host and longest path prefix."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -8,16 +8,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteTable:
-    """All routes in force, by host and prefix."""
+    """The routes in force, by host and path prefix."""
 
     by_host: Mapping[str, Mapping[str, HttpRouteSettings]] = field(default_factory=dict)
 
     def find(self, host: str, path: str) -> HttpRouteSettings | None:
-        """Return the route of a request, or None.
+        """Return the route of a request, None if no route matches.
 
         Args:
-            host: The host that the request names, without a port.
-            path: Its path, without the query.
+            host: The host without a port.
+            path: The path without the query.
         """
         prefixes = self.by_host.get(host)
         if prefixes is None:
@@ -35,7 +35,7 @@
 
 
 def make_route_table(tree: EffectiveTree) -> RouteTable:
-    """Return the routes of a tree."""
+    """Return the route table of a tree."""
     by_host: dict[str, dict[str, HttpRouteSettings]] = {}
     for route in tree.routes.values():
         by_host.setdefault(route.host, {})[route.path_prefix] = route
@@ -43,11 +43,11 @@
 
 
 def choose_service(route: HttpRouteSettings, draw: float) -> str:
-    """Return the service for one request, by the weights of the route.
+    """Choose the service for one request by the weights of its route.
 
     Args:
         route: The route.
-        draw: A random number from 0 to below 1.
+        draw: A random number, at least 0 and below 1.
     """
     total = sum(backend.weight for backend in route.backends)
     left = draw * total
--- a/sesameford/gateway/router_loads.py
+++ b/sesameford/gateway/router_loads.py
@@ -1,4 +1,4 @@
-"""The loads of the routers that report to one replica."""
+"""The last load reports of the routers that report to one replica, and their sums."""
 
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass
@@ -15,12 +15,12 @@
     UsedParts,
 )
 
-# What sums are of: targets by their short names, customers by theirs.
+# Sums are by the short name of a target or by the id of a customer.
 Name = TypeVar("Name", int, str)
 
 
 @dataclass(frozen=True, slots=True)
-class _Reported:
+class _RouterReport:
     """The last report of one router."""
 
     load: RouterLoad
@@ -31,68 +31,75 @@
     """The last report of each router that reports here."""
 
     def __init__(self) -> None:
-        self._reported: dict[str, _Reported] = {}
-        self._asked_milliseconds: dict[str, int] = {}
+        self._reports: dict[str, _RouterReport] = {}
+        self._permits_requested_milliseconds: dict[str, int] = {}
 
-    def received(self, router_id: str, load: RouterLoad, now_seconds: float) -> None:
-        """Take a router's report."""
-        self._reported[router_id] = _Reported(load, now_seconds)
+    def record_report(
+        self, router_id: str, load: RouterLoad, now_seconds: float
+    ) -> None:
+        """Store a router's report in place of its last one."""
+        self._reports[router_id] = _RouterReport(load, now_seconds)
 
-    def ended(self, router_id: str) -> None:
-        """Drop a router that reports elsewhere from now on."""
-        self._reported.pop(router_id, None)
-        self._asked_milliseconds.pop(router_id, None)
+    def remove_router(self, router_id: str) -> None:
+        """Remove a router that now reports to another replica."""
+        self._reports.pop(router_id, None)
+        self._permits_requested_milliseconds.pop(router_id, None)
 
-    def forget_silent(self, now_seconds: float) -> None:
-        """Drop routers that have reported nothing for a while.
+    def remove_expired(self, now_seconds: float) -> None:
+        """Remove routers whose last report has expired.
 
-        Their targets have dropped what a dead router had under way. Were it still
-        counted, all others would leave these targets idle.
+        Targets drop the requests of a dead router. If these were still counted, all
+        other routers would leave the targets idle.
         """
-        for router_id, one in list(self._reported.items()):
+        for router_id, one in list(self._reports.items()):
             if now_seconds - one.at_seconds > REPORT_VALID_SECONDS:
-                self.ended(router_id)
+                self.remove_router(router_id)
 
     @property
     def router_ids(self) -> Collection[str]:
-        """Return the routers that report here."""
-        return self._reported.keys()
-
-    def places_of(self, router_id: str) -> tuple[TargetLoad, ...]:
-        """Return what one router has under way."""
-        return self._reported[router_id].load.target_loads
-
-    def asking(self) -> list[str]:
-        """Return the routers that ask for permits, each report once."""
-        asking = []
-        for router_id, one in self._reported.items():
-            asked_milliseconds = one.load.permits_requested_milliseconds
-            if asked_milliseconds > self._asked_milliseconds.get(router_id, 0):
-                self._asked_milliseconds[router_id] = asked_milliseconds
-                asking.append(router_id)
-        return asking
-
-    def asked_milliseconds(self, router_id: str) -> int:
-        """Return when a router asked for permits last, by its own clock."""
-        return self._asked_milliseconds.get(router_id, 0)
+        """Return the ids of the routers that report here."""
+        return self._reports.keys()
+
+    def target_loads_of(self, router_id: str) -> tuple[TargetLoad, ...]:
+        """Return the load of one router at each target."""
+        return self._reports[router_id].load.target_loads
+
+    def list_permit_requesters(self) -> list[str]:
+        """Return the routers whose last report requests permits.
+
+        A report is returned only once.
+        """
+        requesters = []
+        for router_id, one in self._reports.items():
+            requested_milliseconds = one.load.permits_requested_milliseconds
+            if requested_milliseconds > self._permits_requested_milliseconds.get(
+                router_id, 0
+            ):
+                self._permits_requested_milliseconds[router_id] = requested_milliseconds
+                requesters.append(router_id)
+        return requesters
+
+    def permits_requested_milliseconds(self, router_id: str) -> int:
+        """Return when a router last requested permits, by its own clock."""
+        return self._permits_requested_milliseconds.get(router_id, 0)
 
     def sums(
         self,
         used: tuple[UsedParts, ...] = (),
         outcomes: tuple[TargetOutcomes, ...] = (),
     ) -> PartialLoad:
-        """Return all of them added up.
+        """Return the sums of all reports.
 
         Args:
-            used: What they have sent to engines, to be sent along.
-            outcomes: How targets have answered, to be sent along.
+            used: What the routers sent to engines, to include in the message.
+            outcomes: How targets answered, to include in the message.
         """
-        loads = [one.load for one in self._reported.values()]
+        loads = [one.load for one in self._reports.values()]
         waits_seconds = [load.wait_seconds for load in loads]
         return PartialLoad(
             len(loads),
-            places_added_up(load.target_loads for load in loads),
-            customers_added_up(load.customers for load in loads),
+            sum_target_loads(load.target_loads for load in loads),
+            sum_customer_rates(load.customers for load in loads),
             round(sum(waits_seconds) / max(len(loads), 1), 4),
             sum(load.handled_tokens for load in loads),
             used,
@@ -102,49 +109,53 @@
         )
 
 
-def places_added_up(tables: Iterable[tuple[TargetLoad, ...]]) -> tuple[TargetLoad, ...]:
-    """Return what is under way at each target in all tables together."""
+def sum_target_loads(
+    tables: Iterable[tuple[TargetLoad, ...]],
+) -> tuple[TargetLoad, ...]:
+    """Return the load at each target, summed over all tables."""
     rows = ((one.name, one.requests, one.unread_tokens) for one in chain(*tables))
-    return tuple(TargetLoad(name, *sums) for name, sums in _added_up(rows))
+    return tuple(TargetLoad(name, *sums) for name, sums in _sum_by_name(rows))
 
 
-def places_without(
-    all_places: tuple[TargetLoad, ...], own_places: tuple[TargetLoad, ...]
+def subtract_target_loads(
+    all_loads: tuple[TargetLoad, ...], own_loads: tuple[TargetLoad, ...]
 ) -> tuple[TargetLoad, ...]:
-    """Return what is under way at each target beside one router's part of it."""
-    own = {place.name: place for place in own_places}
-    places = []
-    for place in all_places:
-        mine = own.get(place.name)
+    """Return the load at each target without one router's part of it."""
+    own = {load.name: load for load in own_loads}
+    remaining_loads = []
+    for load in all_loads:
+        mine = own.get(load.name)
         if mine is not None:
-            place = TargetLoad(
-                place.name,
-                place.requests - mine.requests,
-                place.unread_tokens - mine.unread_tokens,
+            load = TargetLoad(
+                load.name,
+                load.requests - mine.requests,
+                load.unread_tokens - mine.unread_tokens,
             )
-        if place.requests or place.unread_tokens:
-            places.append(place)
-    return tuple(places)
+        if load.requests or load.unread_tokens:
+            remaining_loads.append(load)
+    return tuple(remaining_loads)
 
 
-def outcomes_added_up(rows: Iterable[TargetOutcomes]) -> tuple[TargetOutcomes, ...]:
-    """Return the outcomes of each target in one row."""
+def sum_outcomes(rows: Iterable[TargetOutcomes]) -> tuple[TargetOutcomes, ...]:
+    """Return the outcomes of each target, summed into one row."""
     counts = ((one.name, one.answered, one.failed) for one in rows)
-    return tuple(TargetOutcomes(name, *sums) for name, sums in _added_up(counts))
+    return tuple(TargetOutcomes(name, *sums) for name, sums in _sum_by_name(counts))
 
 
-def customers_added_up(
+def sum_customer_rates(
     tables: Iterable[tuple[CustomerRates, ...]],
 ) -> tuple[CustomerRates, ...]:
-    """Return what each customer asks and is served in all tables together."""
+    """Return the rates of each customer, summed over all tables."""
     rows = (
         (one.customer, one.requested_tokens, one.started_tokens)
         for one in chain(*tables)
     )
-    return tuple(CustomerRates(customer, *sums) for customer, sums in _added_up(rows))
+    return tuple(
+        CustomerRates(customer, *sums) for customer, sums in _sum_by_name(rows)
+    )
 
 
-def _added_up(
+def _sum_by_name(
     rows: Iterable[tuple[Name, int, int]],
 ) -> Iterable[tuple[Name, tuple[int, int]]]:
     """Return the two sums of each name, in the order of the first rows."""
@@ -156,5 +167,5 @@
 
 
 def make_router_loads() -> RouterLoads:
-    """Return loads of no routers."""
+    """Return the loads before any report."""
     return RouterLoads()
--- a/sesameford/gateway/shares.py
+++ b/sesameford/gateway/shares.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from sesameford.gateway.router_loads import customers_added_up
+from sesameford.gateway.router_loads import sum_customer_rates
 from sesameford.gateway.service_balance import ServiceBalance, make_service_balance
 from sesameford.gateway.timeliness import wait_factor
 from sesameford.gateway.token_rate import AVERAGE_SECONDS
@@ -77,7 +77,7 @@
         remaining_part = self._remaining_part(available_part, now_seconds)
         declared_tokens = (declared_tokens or INITIAL_CAPACITY_TOKENS) * available_part
         self.routers = sum(load.routers for load in loads)
-        rows = customers_added_up(load.customers for load in loads)
+        rows = sum_customer_rates(load.customers for load in loads)
         self.requested_tokens = {row.customer: row.requested_tokens for row in rows}
         started_tokens = {row.customer: row.started_tokens for row in rows}
         self.wait_setpoint_seconds = base_wait_seconds * wait_factor(
--- a/sesameford/load_messages.py
+++ b/sesameford/load_messages.py
@@ -1,10 +1,10 @@
-"""Messages of loads, of what customers ask and get, and of shares that follow."""
+"""Messages about loads, customers' demands and service, and their shares."""
 
 from msgspec import Struct
 
 
 class TargetLoad(Struct, frozen=True, array_like=True):
-    """Requests under way at one target, and the tokens of them not read yet."""
+    """The running requests at one target, and their tokens that are not read yet."""
 
     name: int
     requests: int
@@ -12,14 +12,14 @@
 
 
 class UsedPart(Struct, frozen=True, array_like=True):
-    """A shared part of a prompt, with its tokens."""
+    """A shared part of a prompt and its number of tokens."""
 
     part_id: int
     tokens: int
 
 
 class UsedParts(Struct, frozen=True, array_like=True):
-    """What was sent to one engine: shared parts, and the tokens of all else."""
+    """What was sent to one engine: shared parts, and the tokens of all other parts."""
 
     name: int
     parts: tuple[UsedPart, ...]
@@ -27,7 +27,7 @@
 
 
 class TargetOutcomes(Struct, frozen=True, array_like=True):
-    """How many requests one target has answered of late, and failed."""
+    """How many requests one target answered and failed since the last message."""
 
     name: int
     answered: int
@@ -35,16 +35,16 @@
 
 
 class FailingTarget(Struct, frozen=True, array_like=True):
-    """A target that fails this part of what it is sent."""
+    """A target and the part of its requests that it fails."""
 
     name: int
     failed_part: float
 
 
 class CustomerRates(Struct, frozen=True, array_like=True):
-    """What a customer asks and is served at some routers, in tokens a second.
+    """What a customer requests and is served at some routers, in tokens a second.
 
-    ``started_tokens`` are of requests whose answers engines have begun.
+    ``started_tokens`` are those of requests whose answers engines have started.
     """
 
     customer: str
@@ -53,20 +53,22 @@
 
 
 class ShareRow(Struct, frozen=True, array_like=True):
-    """The part of its requests that a customer is served while all ask too much."""
+    """The part of its requests that a limited customer is served."""
 
     customer: str
     fraction: float
 
 
 class RouterLoad(Struct, frozen=True, array_like=True, tag=True):
-    """All that a router has under way, by target, and what customers asked there.
-
-    ``wait_seconds`` is how long a prompt waits at an engine, as the router sees it;
-    ``handled_tokens`` what engines begin to answer or fail, a second; ``used`` what it
-    sent to engines since its last report, ``outcomes`` how targets answered since. With
-    ``permits_requested_milliseconds``, a time of its own clock, it asks for permits to
-    send to cold targets. ``in_time_answers`` and ``late_answers`` begin there a second.
+    """A router's load at each target, and the rates of its customers.
+
+    ``wait_seconds`` is the average wait of a prompt at an engine, as the router
+    estimates it; ``handled_tokens`` are the tokens a second of requests that engines
+    start to answer or fail. ``used`` is what the router sent to engines since its last
+    report, ``outcomes`` how targets answered since. A higher
+    ``permits_requested_milliseconds``, a time of the router's clock, requests permits
+    for cold targets. ``in_time_answers`` and ``late_answers`` are the answers that
+    start in a second, within and after their objective.
     """
 
     target_loads: tuple[TargetLoad, ...]
@@ -81,17 +83,17 @@
 
 
 class RouterLoadHandover(Struct, frozen=True, array_like=True, tag="RouterLoadEnds"):
-    """I report my loads to another replica from now on; count them there."""
+    """States that the sender now reports its loads to another replica."""
 
 
 class FleetLoad(Struct, frozen=True, array_like=True, tag=True):
-    """What all routers but the receiver have under way, by target.
+    """The load of all routers except the receiver at each target, and the shares.
 
-    ``routers`` live, of which ``known_routers`` are in these sums, and
-    ``direct_routers`` report to the sender. ``used`` is what they have sent to engines
-    since the last of these messages. Of one that is not ``is_whole`` the sums and
-    shares are of a part of the routers. The receiver may send one request to each cold
-    target in ``permits``, for which it asked at ``permits_requested_milliseconds``.
+    Of ``routers`` live ones ``known_routers`` are in these sums, and ``direct_routers``
+    report to the sender. ``used`` is what they sent to engines since the last such
+    message. Without ``is_whole`` the sums and shares cover only a part of the routers.
+    The receiver may send one request to each cold target in ``permits``, which it
+    requested at ``permits_requested_milliseconds`` of its clock.
     """
 
     target_loads: tuple[TargetLoad, ...]
@@ -107,10 +109,10 @@
 
 
 class PartialLoad(Struct, frozen=True, array_like=True, tag=True):
-    """The loads of the routers that report to one replica, added up for another.
+    """The sums of the routers that report to one replica, for other replicas.
 
-    The fields are as in ``RouterLoad``, with ``wait_seconds`` on average. One of no
-    routers only says that its sender adds up too.
+    The fields are as in ``RouterLoad``, with the average of ``wait_seconds``. A message
+    without routers only announces that its sender is an aggregator.
     """
 
     routers: int = 0
--- a/sesameford/processor_time.py
+++ b/sesameford/processor_time.py
@@ -1,4 +1,4 @@
-"""Counts the processor time that control work takes on the loop's thread."""
+"""Measures the processor time of control work on the event loop's thread."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -14,7 +14,7 @@
 
     @contextmanager
     def measured(self) -> Iterator[None]:
-        """Count the block; a block inside another is counted once."""
+        """Add the processor time of the block; nested blocks are counted once."""
         self._depth += 1
         started_seconds = thread_time()
         try:
--- a/standins/virtual_cold.py
+++ b/standins/virtual_cold.py
@@ -108,7 +108,7 @@
 
 
 def by_permits(
-    rate_requests: float,
+    requests_per_second: float,
     bound: ColdBoundSettings,
     routers: int,
     data_centres: int,
@@ -129,21 +129,21 @@
             asking = [
                 str(router)
                 for router in range(number, routers, len(replicas))
-                if not fleet[router].may_send(known, now_seconds)
+                if not fleet[router].has_permit(known, now_seconds)
                 and random.random() < STEP_SECONDS / REPORT_SECONDS
             ]
-            rates = {short_name(TARGET): rate_requests}
-            for router_id in replica.give(rates, asking, now_seconds):
+            rates = {short_name(TARGET): requests_per_second}
+            for router_id in replica.grant(rates, asking, now_seconds):
                 at_seconds = now_seconds + random.choice(news_seconds)
                 coming.append((at_seconds, int(router_id), now_seconds))
         for one in [one for one in coming if one[0] <= now_seconds]:
             coming.remove(one)
-            fleet[one[1]].take([short_name(TARGET)], one[2], now_seconds)
+            fleet[one[1]].record_permits([short_name(TARGET)], one[2], now_seconds)
 
     def may(router: int, now_seconds: float) -> bool:
-        if not fleet[router].may_send(known, now_seconds):
+        if not fleet[router].has_permit(known, now_seconds):
             return False
-        fleet[router].sent(known)
+        fleet[router].record_sent(known)
         return True
 
     return may, tick
--- a/standins/virtual_engines.py
+++ b/standins/virtual_engines.py
@@ -148,7 +148,7 @@
                 used=router.flush_used_parts(),
                 outcomes=router.flush_outcomes(),
             )
-            self._sums.received(f"r{number}", load, self.now_seconds)
+            self._sums.handle_report(f"r{number}", load, self.now_seconds)
         for answer in self._sums.tick(None, 0.0, self.now_seconds):
             assert isinstance(answer.message, FleetLoad)
             router = self.routers[int((answer.receiver_id or "")[1:])]
--- a/standins/virtual_shares.py
+++ b/standins/virtual_shares.py
@@ -340,20 +340,20 @@
         """Let a router hear the sums of a replica, a charged one when it turns."""
         router = self.routers[number]
         if number in self.loops:
-            self.loops[number].receive(partial(router.heard, sender, fleet))
+            self.loops[number].receive(partial(router.handle_fleet_load, sender, fleet))
         else:
-            router.heard(sender, fleet, self.now_seconds)
+            router.handle_fleet_load(sender, fleet, self.now_seconds)
 
     def _catch_up(self, replica_id: str) -> None:
         """Let a replica read what has come."""
         replica = self.replicas[replica_id]
         for sender, message in self._waiting.pop(replica_id, []):
             if isinstance(message, RouterLoad):
-                replica.received(sender, message, self.now_seconds)
+                replica.handle_report(sender, message, self.now_seconds)
             elif isinstance(message, RouterLoadHandover):
-                replica.ended(sender)
+                replica.handle_handover(sender)
             elif isinstance(message, PartialLoad):
-                replica.received_partial(sender, message, self.now_seconds)
+                replica.handle_partial(sender, message, self.now_seconds)
 
 
 def make_virtual_shares(
--- a/tests/test_aggregator_choice.py
+++ b/tests/test_aggregator_choice.py
@@ -1,11 +1,11 @@
 """Which replica a router reports its loads to, without a network."""
 
 from sesameford.gateway.aggregator_choice import (
-    COMMON_SECONDS,
-    MISSING_SECONDS,
-    NEAR_FROM_ROUTERS,
-    NEWLY_HEARD_SECONDS,
-    PASSED_OVER_SECONDS,
+    COMMON_REPLICA_SECONDS,
+    EXCLUDED_SECONDS,
+    LARGE_FLEET_ROUTERS,
+    MAX_MISSING_SECONDS,
+    NEWLY_LIVE_SECONDS,
     make_aggregator_choice,
 )
 from sesameford.load_messages import FleetLoad
@@ -28,7 +28,7 @@
     """
     choice = make_aggregator_choice()
     choice.choose(REPLICAS, (), SILENT_SECONDS, 1.0)
-    choice.heard("a", SUMS, 1.01)
+    choice.record_answer("a", SUMS, 1.01)
     assert choice.choose(REPLICAS, (), SILENT_SECONDS, 1.4) == "a"
     assert choice.choose(REPLICAS, (), SILENT_SECONDS, 1.02 + SILENT_SECONDS) == "b"
     assert choice.choose(REPLICAS, (), SILENT_SECONDS, 1.1 + SILENT_SECONDS) == "b"
@@ -39,7 +39,7 @@
     choice.choose(REPLICAS, (), SILENT_SECONDS, 1.0)
     choice.choose(REPLICAS, (), SILENT_SECONDS, 2.0)
     assert choice.choose(REPLICAS, (), SILENT_SECONDS, 2.1) == "b"
-    choice.heard("a", SUMS, 2.2)
+    choice.record_answer("a", SUMS, 2.2)
     assert choice.choose(REPLICAS, (), SILENT_SECONDS, 2.3) == "a"
 
 
@@ -49,8 +49,8 @@
     choice.choose(REPLICAS, (), SILENT_SECONDS, 1.0)
     now = 1.1 + SILENT_SECONDS
     assert choice.choose(REPLICAS, (), SILENT_SECONDS, now) == "b"
-    while now < 1.2 + SILENT_SECONDS + PASSED_OVER_SECONDS:
-        choice.heard("b", SUMS, now)
+    while now < 1.2 + SILENT_SECONDS + EXCLUDED_SECONDS:
+        choice.record_answer("b", SUMS, now)
         now += 0.1
         chosen = choice.choose(REPLICAS, (), SILENT_SECONDS, now)
     assert chosen == "a"
@@ -71,13 +71,13 @@
     choice = make_aggregator_choice()
     choice.choose(("b", "c"), (), SILENT_SECONDS, 1.0)
     now = 1.0
-    while now < 5.0 + 0.9 * NEWLY_HEARD_SECONDS:
-        choice.heard("b", SUMS, now)
+    while now < 5.0 + 0.9 * NEWLY_LIVE_SECONDS:
+        choice.record_answer("b", SUMS, now)
         heard = REPLICAS if now >= 5.0 else ("b", "c")
         assert choice.choose(heard, (), SILENT_SECONDS, now) == "b"
         now += 0.1
-    now = 5.1 + NEWLY_HEARD_SECONDS
-    choice.heard("b", SUMS, now)
+    now = 5.1 + NEWLY_LIVE_SECONDS
+    choice.record_answer("b", SUMS, now)
     assert choice.choose(REPLICAS, (), SILENT_SECONDS, now) == "a"
 
 
@@ -87,8 +87,8 @@
     assert choice.choose(("a",), (), SILENT_SECONDS, 1.1) == "a"
 
 
-LARGE = FleetLoad((), 3 * NEAR_FROM_ROUTERS, known_routers=3 * NEAR_FROM_ROUTERS)
-PART = FleetLoad((), 3 * NEAR_FROM_ROUTERS, known_routers=NEAR_FROM_ROUTERS)
+LARGE = FleetLoad((), 3 * LARGE_FLEET_ROUTERS, known_routers=3 * LARGE_FLEET_ROUTERS)
+PART = FleetLoad((), 3 * LARGE_FLEET_ROUTERS, known_routers=LARGE_FLEET_ROUTERS)
 
 
 def reports_to(choice, sums, from_seconds, to_seconds, near=("c",)):
@@ -96,7 +96,7 @@
     now_seconds, chosen = from_seconds, choice.chosen
     while now_seconds < to_seconds:
         chosen = choice.choose(REPLICAS, near, SILENT_SECONDS, now_seconds)
-        choice.heard(chosen, sums, now_seconds)
+        choice.record_answer(chosen, sums, now_seconds)
         now_seconds += 0.1
     return chosen
 
@@ -134,7 +134,12 @@
     """
     choice = make_aggregator_choice()
     assert reports_to(choice, LARGE, 1.0, 3.0) == "c"
-    assert reports_to(choice, PART, 3.0, 3.0 + 0.9 * MISSING_SECONDS) == "c"
-    assert reports_to(choice, PART, 3.0 + MISSING_SECONDS, 4.0) == "a"
-    assert reports_to(choice, LARGE, 4.0, 3.5 + COMMON_SECONDS) == "a"
-    assert reports_to(choice, LARGE, 3.5 + COMMON_SECONDS, 5.0 + COMMON_SECONDS) == "c"
+    assert reports_to(choice, PART, 3.0, 3.0 + 0.9 * MAX_MISSING_SECONDS) == "c"
+    assert reports_to(choice, PART, 3.0 + MAX_MISSING_SECONDS, 4.0) == "a"
+    assert reports_to(choice, LARGE, 4.0, 3.5 + COMMON_REPLICA_SECONDS) == "a"
+    assert (
+        reports_to(
+            choice, LARGE, 3.5 + COMMON_REPLICA_SECONDS, 5.0 + COMMON_REPLICA_SECONDS
+        )
+        == "c"
+    )
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -18,7 +18,7 @@
     WINDOW_SECONDS,
     make_cold_permits,
 )
-from sesameford.gateway.cold_targets import PERMIT_SECONDS
+from sesameford.gateway.cold_targets import PERMIT_VALID_SECONDS
 from sesameford.gateway.placement import make_placement
 from sesameford.messages import HeartbeatRow
 from sesameford.settings import ColdBoundSettings
@@ -101,14 +101,16 @@
                 for router in range(routers)
                 if router % len(replicas) == number and random.random() < 0.4
             ]
-            given = replica.give({COLD: RATE}, asking, now)
+            given = replica.grant({COLD: RATE}, asking, now)
             for router, names in given.items():
                 late_seconds = random.choice([0.01, 0.05, 0.3, 1.0])
                 coming.append((now + late_seconds, router, names, now))
         for one in [one for one in coming if one[0] <= now]:
             coming.remove(one)
-            _, router, names, asked_at_seconds = one
-            fleet[router].candidates.cold.take(names, asked_at_seconds, now)
+            _, router, names, requested_at_seconds = one
+            fleet[router].candidates.cold.record_permits(
+                names, requested_at_seconds, now
+            )
         for placement in fleet:
             if random.random() < 0.6 and choose(placement, now).target_id == "e1":
                 sends.add(now)
@@ -147,7 +149,7 @@
 
 def test_a_permit_is_for_one_request_and_for_a_short_while():
     placement, _ = make_router(row("e1", 1, 9_000))
-    placement.candidates.cold.take([COLD], 1.0, 1.1)
+    placement.candidates.cold.record_permits([COLD], 1.0, 1.1)
     lease = choose(placement, 1.2)
     assert (lease.target_id, lease.is_cold) == ("e1", True)
     assert choose(placement, 1.2) is None
@@ -155,21 +157,21 @@
         placement.candidates.no_target_reason("pool", frozenset(), 1.2)
         is NoTargetReason.COLD
     )
-    placement.candidates.cold.take([COLD], 1.0, 1.0 + PERMIT_SECONDS)
-    assert choose(placement, 1.0 + PERMIT_SECONDS) is None
+    placement.candidates.cold.record_permits([COLD], 1.0, 1.0 + PERMIT_VALID_SECONDS)
+    assert choose(placement, 1.0 + PERMIT_VALID_SECONDS) is None
 
 
 def test_a_replica_that_has_started_again_gives_nothing_out_at_first():
     """It does not know what it gave out before."""
     permits = make_cold_permits(BOUND, 3)
-    assert not permits.give({COLD: RATE}, ["r1"], 100.0)
-    assert not permits.give({COLD: RATE}, ["r1"], 100.0 + WINDOW_SECONDS / 2)
-    assert permits.give({COLD: RATE}, ["r1"], 100.1 + WINDOW_SECONDS)
+    assert not permits.grant({COLD: RATE}, ["r1"], 100.0)
+    assert not permits.grant({COLD: RATE}, ["r1"], 100.0 + WINDOW_SECONDS / 2)
+    assert permits.grant({COLD: RATE}, ["r1"], 100.1 + WINDOW_SECONDS)
 
 
 def test_what_a_cold_engine_shows_says_nothing_of_its_kind():
     placement, _ = make_router(row("e0"), row("e1", 1, 9_000))
-    placement.candidates.cold.take([COLD], 0.9, 1.0)
+    placement.candidates.cold.record_permits([COLD], 0.9, 1.0)
     for _ in range(9):
         lease = choose(placement, 1.0)
         if lease.is_cold:
--- a/tests/test_engine_memory.py
+++ b/tests/test_engine_memory.py
@@ -3,7 +3,7 @@
 from sesameford.gateway.calls import Prompt, PromptPart
 from sesameford.gateway.engine_memory import USABLE_MEMORY_FRACTION, make_engine_memory
 from sesameford.gateway.fleet_sums import (
-    MOST_USED_ROWS,
+    MAX_USED_ROWS,
     LiveInstances,
     make_fleet_sums,
 )
@@ -85,12 +85,12 @@
     sums = make_fleet_sums(
         LiveInstances(lambda *_: (), lambda *_: (), lambda *_: 0),
     )
-    rows = tuple(UsedParts(number, (), 1) for number in range(MOST_USED_ROWS))
+    rows = tuple(UsedParts(number, (), 1) for number in range(MAX_USED_ROWS))
     for router_id in ("r1", "r2", "r3"):
-        sums.received(router_id, RouterLoad((), used=rows), 1.0)
+        sums.handle_report(router_id, RouterLoad((), used=rows), 1.0)
     for answer in sums.tick(None, 0.1, 1.0):
         assert isinstance(answer.message, FleetLoad)
-        assert len(answer.message.used) <= MOST_USED_ROWS
+        assert len(answer.message.used) <= MAX_USED_ROWS
     answers = sums.tick(None, 0.1, 1.3)
     assert len(answers) == 3
     assert not any(answer.message.used for answer in answers)
--- a/tests/test_fleet_sums.py
+++ b/tests/test_fleet_sums.py
@@ -16,7 +16,7 @@
     UsedParts,
 )
 
-WANTED_WAIT_SECONDS = 0.1
+BASE_WAIT_SECONDS = 0.1
 OTHERS = ("b", "c")
 
 
@@ -28,7 +28,7 @@
 
 def sent(sums, now_seconds):
     """Return what is sent at a time, by receiver."""
-    outgoing = sums.tick(None, WANTED_WAIT_SECONDS, now_seconds)
+    outgoing = sums.tick(None, BASE_WAIT_SECONDS, now_seconds)
     return {one.receiver_id: one.message for one in outgoing}
 
 
@@ -36,7 +36,7 @@
     """Return what each router is sent after all have reported."""
     sums = sums_of()
     for router_id, places in places_by_router.items():
-        sums.received(router_id, RouterLoad(places), now_seconds)
+        sums.handle_report(router_id, RouterLoad(places), now_seconds)
     return sent(sums, now_seconds)
 
 
@@ -61,9 +61,9 @@
     the targets idle.
     """
     sums = sums_of()
-    sums.received("dead", RouterLoad((TargetLoad(1, 50, 9_000),)), 0.0)
+    sums.handle_report("dead", RouterLoad((TargetLoad(1, 50, 9_000),)), 0.0)
     later = REPORT_VALID_SECONDS + 0.1
-    sums.received("r1", RouterLoad(()), later)
+    sums.handle_report("r1", RouterLoad(()), later)
     assert sent(sums, later)["r1"].target_loads == ()
 
 
@@ -75,9 +75,9 @@
     """
     sums = sums_of()
     customers = (CustomerRates("a", 9_000),)
-    sums.received("r1", RouterLoad((TargetLoad(1, 50, 9_000),), customers), 1.0)
-    sums.received("r2", RouterLoad(()), 1.0)
-    sums.ended("r1")
+    sums.handle_report("r1", RouterLoad((TargetLoad(1, 50, 9_000),), customers), 1.0)
+    sums.handle_report("r2", RouterLoad(()), 1.0)
+    sums.handle_handover("r1")
     assert sent(sums, 1.0) == {"r2": FleetLoad((), 1, (), (), False, 1, 1)}
     assert not sums.shares.requested_tokens
 
@@ -90,7 +90,7 @@
     sums = sums_of()
     for _ in range(60):
         customers = (CustomerRates("a", 20_000),)
-        sums.received("r1", RouterLoad((), customers, 0.0, 20_000.0), 1.0)
+        sums.handle_report("r1", RouterLoad((), customers, 0.0, 20_000.0), 1.0)
     sent(sums, 1.0)
     assert sums.shares.requested_tokens == {"a": 20_000}
     assert sums.shares.fractions == {}
@@ -99,10 +99,10 @@
 def test_a_router_that_is_sent_nothing_knows_that_it_is_alone():
     """A cut between a router and all replicas closes no connection."""
     report = make_load_report()
-    assert report.is_alone(0.0)
-    report.heard(FleetLoad((), 4), 1.0)
-    assert not report.is_alone(1.0 + 0.9 * REPORT_VALID_SECONDS)
-    assert report.is_alone(1.0 + 1.1 * REPORT_VALID_SECONDS)
+    assert report.is_isolated(0.0)
+    report.record_fleet_load(FleetLoad((), 4), 1.0)
+    assert not report.is_isolated(1.0 + 0.9 * REPORT_VALID_SECONDS)
+    assert report.is_isolated(1.0 + 1.1 * REPORT_VALID_SECONDS)
 
 
 def test_a_replica_that_wakes_alone_sends_nobody_anything():
@@ -112,22 +112,22 @@
     that fails there leaves a line that looks like a fault of the instance.
     """
     sums = sums_of()
-    sums.received("r1", RouterLoad(()), 1.0)
+    sums.handle_report("r1", RouterLoad(()), 1.0)
     assert set(sent(sums, 1.0)) == {"r1"}
-    outgoing = sums.tick(100_000.0, WANTED_WAIT_SECONDS, 2.0 + REPORT_VALID_SECONDS)
+    outgoing = sums.tick(100_000.0, BASE_WAIT_SECONDS, 2.0 + REPORT_VALID_SECONDS)
     assert outgoing == []
 
 
 def test_one_that_all_routers_report_to_sends_other_replicas_nothing():
     sums = sums_of(OTHERS, routers=1)
-    sums.received("r1", RouterLoad(()), 1.0)
+    sums.handle_report("r1", RouterLoad(()), 1.0)
     assert set(sent(sums, 1.0)) == {"r1"}
 
 
 def test_one_that_misses_routers_says_that_it_adds_up():
     """A router reports to another replica, and nobody here knows which."""
     sums = sums_of(OTHERS, routers=2)
-    sums.received("r1", RouterLoad(()), 1.0)
+    sums.handle_report("r1", RouterLoad(()), 1.0)
     answers = sent(sums, 1.0)
     assert answers["b"] == answers["c"] == PartialLoad()
 
@@ -137,9 +137,9 @@
     used = (UsedParts(7, (), 50),)
     customers = (CustomerRates("a", 9_000, 4_000),)
     load = RouterLoad((TargetLoad(1, 2, 30),), customers, 0.25, 6_000.0, used)
-    sums.received("r1", load, 1.0)
-    sums.received("r2", load, 1.0)
-    sums.received_partial("b", PartialLoad(), 1.0)
+    sums.handle_report("r1", load, 1.0)
+    sums.handle_report("r2", load, 1.0)
+    sums.handle_partial("b", PartialLoad(), 1.0)
     places, both = (TargetLoad(1, 4, 60),), (CustomerRates("a", 18_000, 8_000),)
     whole = PartialLoad(2, places, both, 0.25, 12_000.0, (*used, *used))
     answers = sent(sums, 1.0)
@@ -156,11 +156,11 @@
     """
     sums = sums_of(OTHERS, routers=3)
     mine = RouterLoad((TargetLoad(1, 2, 30),), (CustomerRates("a", 80_000),))
-    sums.received("r1", mine, 1.0)
+    sums.handle_report("r1", mine, 1.0)
     used = (UsedParts(7, (), 50),)
     customers = (CustomerRates("a", 720_000), CustomerRates("b", 1_000))
     other = PartialLoad(2, (TargetLoad(1, 5, 500),), customers, 0.0, 0.0, used)
-    sums.received_partial("b", other, 1.0)
+    sums.handle_partial("b", other, 1.0)
     answer = sent(sums, 1.0)["r1"]
     assert answer.target_loads == (TargetLoad(1, 5, 500),)
     assert answer.known_routers == 3
@@ -172,20 +172,20 @@
 
 def test_sums_of_a_replica_that_fell_silent_are_dropped():
     sums = sums_of(OTHERS, routers=3)
-    sums.received_partial("b", PartialLoad(2, (TargetLoad(1, 5, 500),)), 1.0)
+    sums.handle_partial("b", PartialLoad(2, (TargetLoad(1, 5, 500),)), 1.0)
     later = 1.1 + PARTIAL_VALID_SECONDS
-    sums.received("r1", RouterLoad(()), later)
+    sums.handle_report("r1", RouterLoad(()), later)
     assert sent(sums, later)["r1"].target_loads == ()
 
 
 def test_sums_go_no_more_to_a_replica_that_fell_silent():
     """It only hears that sums are exchanged, and gets them when it says so too."""
     sums = sums_of(OTHERS, routers=2)
-    sums.received_partial("b", PartialLoad(), 1.0)
+    sums.handle_partial("b", PartialLoad(), 1.0)
     later = 1.1 + PARTIAL_VALID_SECONDS
-    sums.received("r1", RouterLoad((TargetLoad(1, 2, 30),)), later)
+    sums.handle_report("r1", RouterLoad((TargetLoad(1, 2, 30),)), later)
     assert sent(sums, later)["b"] == PartialLoad()
-    sums.received_partial("b", PartialLoad(), later + 0.1)
+    sums.handle_partial("b", PartialLoad(), later + 0.1)
     assert sent(sums, later + 0.3)["b"] == PartialLoad(1, (TargetLoad(1, 2, 30),))
 
 
@@ -199,10 +199,10 @@
     used = (UsedParts(7, (), 50),)
     for step in range(100):
         now_seconds = 1.0 + step / 10
-        sums.received("r1", RouterLoad((), used=used), now_seconds)
+        sums.handle_report("r1", RouterLoad((), used=used), now_seconds)
         sent(sums, now_seconds)
-    sums.received_partial("b", PartialLoad(), 11.0)
-    sums.received("r1", RouterLoad((), used=used), 11.0)
+    sums.handle_partial("b", PartialLoad(), 11.0)
+    sums.handle_report("r1", RouterLoad((), used=used), 11.0)
     assert sent(sums, 11.0)["b"].used == used
 
 
@@ -217,9 +217,9 @@
     while now_seconds < 6.0:
         reporting = 10 if now_seconds < 3.0 else 5
         for number in range(reporting):
-            sums.received(f"r{number}", RouterLoad(()), now_seconds)
+            sums.handle_report(f"r{number}", RouterLoad(()), now_seconds)
         for number in range(reporting, 10):
-            sums.ended(f"r{number}")
+            sums.handle_handover(f"r{number}")
         answer = sent(sums, now_seconds).get("r1")
         if answer is not None and answer.is_whole:
             whole_at_seconds.append(now_seconds)
--- a/tests/test_load_system.py
+++ b/tests/test_load_system.py
@@ -7,7 +7,7 @@
 from sesameford.gateway.call_context import make_gateway_state
 from sesameford.gateway.calls import Prompt, PromptPart
 from sesameford.gateway.fleet_sums import LiveInstances
-from sesameford.gateway.load_report import AT_LEAST_SECONDS, REPORT_SECONDS
+from sesameford.gateway.load_report import MAX_REPORT_INTERVAL_SECONDS, REPORT_SECONDS
 from sesameford.gateway.load_system import make_load_system
 from sesameford.gateway.placement import make_placement
 from sesameford.load_messages import CustomerRates, FleetLoad, RouterLoad, ShareRow
@@ -86,8 +86,8 @@
     now_seconds = router.flood(3.0)
     router.replicas = ["replica-2", "replica-1"]
     shares = (ShareRow("other", 0.25),)
-    router.load.heard("replica-1", FleetLoad((), 3, shares), now_seconds)
-    router.load.tick(now_seconds + AT_LEAST_SECONDS)
+    router.load.handle_fleet_load("replica-1", FleetLoad((), 3, shares), now_seconds)
+    router.load.tick(now_seconds + MAX_REPORT_INTERVAL_SECONDS)
     assert router.load.gate.fractions == {"other": 0.25}
     (reported,) = router.sent
     assert reported.receiver_id == "replica-1"
@@ -105,7 +105,7 @@
     router.replicas = ["replica-1"]
     now_seconds = 0.0
     while now_seconds < 4.0:
-        router.load.heard(
+        router.load.handle_fleet_load(
             "replica-1", FleetLoad((), 360, direct_routers=360), now_seconds
         )
         router.load.tick(now_seconds)
@@ -125,7 +125,7 @@
     gate = router.load.gate
     router.load.tick(1.0)
     shares = (ShareRow("by-share", 0.5), ShareRow("by-room", 0.5))
-    router.load.heard("replica-1", FleetLoad((), 3, shares), 1.0)
+    router.load.handle_fleet_load("replica-1", FleetLoad((), 3, shares), 1.0)
     for _ in range(10):
         gate.admits("by-share", "stream", 1_000)
         gate.admits("by-room", "stream", 300, lambda: True)
@@ -152,8 +152,10 @@
     router = Router()
     router.replicas = ["replica-1"]
     whole = FleetLoad((), 70, (ShareRow("flood", 0.1),))
-    router.load.heard("replica-1", whole, 1.0)
-    router.load.heard("replica-1", FleetLoad((), 3, (), is_whole=False), 1.1)
+    router.load.handle_fleet_load("replica-1", whole, 1.0)
+    router.load.handle_fleet_load(
+        "replica-1", FleetLoad((), 3, (), is_whole=False), 1.1
+    )
     assert router.load.gate.fractions == {"flood": 0.1}
     assert router.load.report.routers == 70
 
@@ -165,11 +167,11 @@
     long as that lasts.
     """
     router = Router()
-    router.load.heard("replica-1", FleetLoad((), 70, ()), 1.0)
+    router.load.handle_fleet_load("replica-1", FleetLoad((), 70, ()), 1.0)
     part = FleetLoad((), 3, (ShareRow("flood", 0.1),), is_whole=False)
-    router.load.heard("replica-1", part, 2.5)
+    router.load.handle_fleet_load("replica-1", part, 2.5)
     assert router.load.gate.fractions == {}
-    router.load.heard("replica-1", part, 2.7)
+    router.load.handle_fleet_load("replica-1", part, 2.7)
     assert router.load.gate.fractions == {"flood": 0.1}
 
 
@@ -177,7 +179,7 @@
     """All machines have lost power; whoever comes first is better than nothing."""
     router = Router()
     part = FleetLoad((), 3, (ShareRow("flood", 0.1),), is_whole=False)
-    router.load.heard("replica-1", part, 1.0)
+    router.load.handle_fleet_load("replica-1", part, 1.0)
     assert router.load.gate.fractions == {"flood": 0.1}
 
 
@@ -190,8 +192,10 @@
     router = Router()
     router.replicas = ["replica-1", "replica-2"]
     router.load.tick(1.0)
-    router.load.heard("replica-1", FleetLoad((), 3, (ShareRow("a", 0.1),)), 1.01)
-    router.load.heard("replica-2", FleetLoad((), 3, ()), 1.02)
+    router.load.handle_fleet_load(
+        "replica-1", FleetLoad((), 3, (ShareRow("a", 0.1),)), 1.01
+    )
+    router.load.handle_fleet_load("replica-2", FleetLoad((), 3, ()), 1.02)
     assert router.load.gate.fractions == {"a": 0.1}
 
 
@@ -221,7 +225,7 @@
             self.heard.add(number)
             customers = (CustomerRates("flood", 40_000),)
             load = RouterLoad((), customers)
-            self.load.received(f"r{number}", load, now_seconds)
+            self.load.handle_report(f"r{number}", load, now_seconds)
         self.sent.clear()
         self.load.tick(now_seconds)
         return all(one.message.is_whole for one in self.sent)
--- a/tools/experiment.py
+++ b/tools/experiment.py
@@ -15,7 +15,7 @@
 
 from sesameford.gateway import engine_choice
 from sesameford.gateway.calls import Prompt, PromptPart
-from sesameford.gateway.load_report import report_seconds
+from sesameford.gateway.load_report import report_interval_seconds
 from standins.virtual_engines import (
     Arrival,
     EngineFigures,
@@ -151,7 +151,7 @@
         seed: For what is drawn.
     """
     near, lot, copies = POLICIES[policy]
-    tell_seconds = report_seconds(fleet.routers)
+    tell_seconds = report_interval_seconds(fleet.routers)
     figures = EngineFigures(copy_tokens_per_second=400_000.0 if copies else None)
     with _looking_at(near, lot):
         engines = make_virtual_engines(
