--- a/sesameford/allocator.py
+++ b/sesameford/allocator.py
@@ -14,8 +14,8 @@
 from sesameford.grant_answers import grant_answers
 from sesameford.links import LEASE_SECONDS, GrantLink, ReportLink
 from sesameford.messages import Outgoing
-from sesameford.place_reports import place_reports
 from sesameford.pool_allocation import allocate
+from sesameford.remote_reports import place_reports
 from sesameford.slot_messages import PoolReport, ShareReport, SlotGrants
 from sesameford.tables import Target
 
--- a/sesameford/router_reports.py
+++ b/sesameford/router_reports.py
@@ -8,7 +8,7 @@
     ReportLink,
     pool_reports,
 )
-from sesameford.place_reports import SERVED_THRESHOLD_QUANTA, wanted_rows
+from sesameford.remote_reports import SERVED_THRESHOLD_QUANTA, wanted_rows
 from sesameford.router_state import RouterState
 from sesameford.slot_messages import ShareReport
 
--- a/tools/count.py
+++ b/tools/count.py
@@ -13,7 +13,7 @@
 AREAS = {
     "routing": "router relay pools queues pool_allocation virtual_time prompts prefix"
     " scheduling leased leases allocation allocator independent scheduler_switch"
-    " estimates windows affinity accounts place_reports demand lending place"
+    " estimates windows affinity accounts remote_reports demand lending place"
     " target_record engine_ engine_memory load_report load_system fleet_sums"
     " router_loads"
     " aggregator_choice service_balance share_gate shares"
