--- a/sesameford/allocator.py
+++ b/sesameford/allocator.py
@@ -103,7 +103,7 @@
         """Take the present allocators of the other data centres."""
         places = self.state.places
         for name in [known for known in places if known not in elected]:
-            if not places[name].link.holds(now_seconds):
+            if not places[name].link.has_valid_lease(now_seconds):
                 del places[name]
         for name, receiver_id in elected.items():
             known = places.get(name)
@@ -226,7 +226,7 @@
             if known is not None and incarnation > known:
                 # It restarted and knows nothing; start a term to tell it all.
                 self._open_place(name, sender_id, {}, now_seconds)
-            elif link.apply(grants, incarnation, now_seconds):
+            elif link.apply_grants(grants, incarnation, now_seconds):
                 self.state.changed = True
                 for news in grants.pools:
                     place.news[news.pool] = news
--- a/sesameford/allocator_state.py
+++ b/sesameford/allocator_state.py
@@ -120,7 +120,7 @@
         if self.owns(target_id):
             return self._regrown(target_id, now_seconds).slots
         place = self.places.get(self.owner_of.get(target_id, ""))
-        if place is None or not place.link.holds(now_seconds):
+        if place is None or not place.link.has_valid_lease(now_seconds):
             return 0
         return place.link.holdings.get(target_id, 0)
 
--- a/sesameford/leased.py
+++ b/sesameford/leased.py
@@ -150,7 +150,9 @@
         self._term += 1
         link = ReportLink(receiver_id, self._term, now_seconds)
         if old is not None:
-            link.holdings = dict(old.holdings) if old.holds(now_seconds) else {}
+            link.holdings = (
+                dict(old.holdings) if old.has_valid_lease(now_seconds) else {}
+            )
             link.lease_expires_at_seconds = old.lease_expires_at_seconds
             for account in self._state.totals.totals_by_account():
                 reported = old.reported_served.get(account, 0.0)
@@ -388,7 +390,7 @@
             # full report.
             self._open_link(sender_id, now_seconds)
             return
-        if not link.apply(grants, incarnation, now_seconds):
+        if not link.apply_grants(grants, incarnation, now_seconds):
             return
         self._is_scheduled = False
         for update in grants.pools:
--- a/sesameford/links.py
+++ b/sesameford/links.py
@@ -29,7 +29,7 @@
 HEARTBEAT_SECONDS = 0.5
 COALESCE_SECONDS = 0.02
 JOINED_FRACTION = 0.5
-PRESSED_SECONDS = 1.2
+LEASE_NEAR_EXPIRY_SECONDS = 1.2
 RESEND_SECONDS = 0.15
 _AGE_REPORTED_SECONDS = 0.2
 _COMPLETIONS_REPORTED = 16
@@ -77,11 +77,11 @@
     reported_paces: dict[str, CompletionTotals] = field(default_factory=dict)
     pace_base: dict[str, CompletionTotals] = field(default_factory=dict)
 
-    def holds(self, now_seconds: float) -> bool:
+    def has_valid_lease(self, now_seconds: float) -> bool:
         """Return whether the lease on the holdings still runs."""
         return now_seconds < self.lease_expires_at_seconds
 
-    def is_pressed(self, now_seconds: float) -> bool:
+    def is_lease_near_expiry(self, now_seconds: float) -> bool:
         """Return whether the lease is near its end for want of answers.
 
         Reports or answers are being lost. What runs when a lease ends runs beside
@@ -89,13 +89,19 @@
         """
         left = self.lease_expires_at_seconds - now_seconds
         since = now_seconds - self.sent_at_seconds
-        return self.answered and left < PRESSED_SECONDS and since >= RESEND_SECONDS
+        return (
+            self.answered
+            and left < LEASE_NEAR_EXPIRY_SECONDS
+            and since >= RESEND_SECONDS
+        )
 
     def total_since_base(self, account: Account, total: float) -> float:
         """Return what this link tells of an own total."""
         return total - self.base.get(account, 0.0)
 
-    def apply(self, grants: SlotGrants, incarnation: int, now_seconds: float) -> bool:
+    def apply_grants(
+        self, grants: SlotGrants, incarnation: int, now_seconds: float
+    ) -> bool:
         """Take an allocator's answer.
 
         Args:
@@ -114,7 +120,7 @@
             return False
         if self.receiver_incarnation is None:
             self.receiver_incarnation = incarnation
-        if not self.holds(now_seconds):
+        if not self.has_valid_lease(now_seconds):
             self.regained_at_seconds = now_seconds
         if grants.full:
             self.holdings = {row.target_id: row.slots for row in grants.grants}
@@ -137,7 +143,7 @@
         self._renew(grants.acknowledged_report)
         return True
 
-    def returns_slots(self, running: Mapping[str, int]) -> bool:
+    def has_slots_to_return(self, running: Mapping[str, int]) -> bool:
         """Return whether the receiver counts slots that are free here."""
         return any(
             max(self.holdings.get(target_id, 0), running.get(target_id, 0)) < reported
@@ -153,7 +159,7 @@
         for sequence in [known for known in self.sent if known < acknowledged_report]:
             del self.sent[sequence]
 
-    def begin_report(self, now_seconds: float) -> int:
+    def record_sent_report(self, now_seconds: float) -> int:
         """Count a report that leaves now and return its number."""
         self.sequence += 1
         self.sent[self.sequence] = now_seconds
@@ -209,7 +215,7 @@
             rows.setdefault(key[0], []).append(row)
         return rows
 
-    def pace_rows(
+    def completion_rows(
         self, paces: Mapping[str, CompletionTotals]
     ) -> tuple[CompletionTotalsRow, ...]:
         """Return the completions since the term began that grew by enough."""
--- a/sesameford/remote_reports.py
+++ b/sesameford/remote_reports.py
@@ -85,8 +85,8 @@
     due = (
         since >= heartbeat_seconds
         or link.full_due
-        or link.is_pressed(now_seconds)
-        or link.returns_slots(kept)
+        or link.is_lease_near_expiry(now_seconds)
+        or link.has_slots_to_return(kept)
         or _could_help(place, demands)
     )
     if not due:
@@ -106,14 +106,14 @@
     link.full_due = False
     return ShareReport(
         link.term,
-        link.begin_report(now_seconds),
+        link.record_sent_report(now_seconds),
         link.acknowledged_grants,
         state.data_centre,
         full,
         link.requests_full,
         rows,
         holdings,
-        _wanted_rows(state, place, full),
+        _remote_limit_demand_rows(state, place, full),
     )
 
 
@@ -227,7 +227,7 @@
     return max(slots - lent, 0)
 
 
-def _wanted_rows(
+def _remote_limit_demand_rows(
     state: AllocatorState, place: RemoteAllocator, full: bool
 ) -> tuple[LimitDemandRow, ...]:
     """Return the limited customers' demand here that changed much."""
@@ -235,10 +235,10 @@
     for link in state.routers():
         for customer, rate in link.wanted.items():
             total[customer] = total.get(customer, 0.0) + rate
-    return wanted_rows(total, place.reported_wanted, full)
+    return limit_demand_rows(total, place.reported_wanted, full)
 
 
-def wanted_rows(
+def limit_demand_rows(
     rates: dict[str, float], reported: dict[str, float], full: bool
 ) -> tuple[LimitDemandRow, ...]:
     """Return the demands that changed much, and note them as reported.
--- a/sesameford/router_reports.py
+++ b/sesameford/router_reports.py
@@ -8,7 +8,7 @@
     ReportLink,
     pool_reports,
 )
-from sesameford.remote_reports import SERVED_THRESHOLD_QUANTA, wanted_rows
+from sesameford.remote_reports import SERVED_THRESHOLD_QUANTA, limit_demand_rows
 from sesameford.router_state import RouterState
 from sesameford.slot_messages import ShareReport
 
@@ -33,10 +33,10 @@
     _return_idle_slots(state, link, now_seconds)
     demands = _demands(state, now_seconds)
     urgent = (
-        link.returns_slots(state.attempts.by_target)
+        link.has_slots_to_return(state.attempts.by_target)
         or _demand_is_urgent(state, link, demands)
         or link.full_due
-        or link.is_pressed(now_seconds)
+        or link.is_lease_near_expiry(now_seconds)
         or link.requests_full
     )
     if not urgent and since_seconds < HEARTBEAT_SECONDS:
@@ -51,19 +51,19 @@
     link.full_due = False
     return ShareReport(
         link.term,
-        link.begin_report(now_seconds),
+        link.record_sent_report(now_seconds),
         link.acknowledged_grants,
         "",
         full,
         link.requests_full,
         tuple(pools.values()),
         holdings,
-        wanted_rows(
+        limit_demand_rows(
             state.limits.demand_rates(now_seconds, state.queues.requests_of),
             state.reported_demand_rates,
             full,
         ),
-        link.pace_rows(state.completion_totals),
+        link.completion_rows(state.completion_totals),
     )
 
 
--- a/sesameford/router_state.py
+++ b/sesameford/router_state.py
@@ -36,7 +36,7 @@
 
     def free_slots(self, link: ReportLink, now_seconds: float) -> dict[str, int]:
         """Return the number of held slots without an attempt, by target."""
-        if not link.holds(now_seconds):
+        if not link.has_valid_lease(now_seconds):
             return {}
         free = {}
         for target_id, slots in link.holdings.items():
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -11,11 +11,11 @@
     which found its allocator silent and dealt out the same slots beside it.
     """
     link = ReportLink("allocator", 1, 0.0)
-    report = link.begin_report(0.0)
+    report = link.record_sent_report(0.0)
     late = SlotGrants(1, 746, 848, False, grants=(GrantRow("t", 3),))
-    assert not link.apply(late, 1, 0.1)
+    assert not link.apply_grants(late, 1, 0.1)
     assert not link.holdings
     new = SlotGrants(1, 1, report, True, grants=(GrantRow("t", 1),))
-    assert link.apply(new, 1, 0.2)
+    assert link.apply_grants(new, 1, 0.2)
     assert link.holdings == {"t": 1}
-    assert link.holds(0.3)
+    assert link.has_valid_lease(0.3)
