--- a/benchmarks/fairness_slopes.py
+++ b/benchmarks/fairness_slopes.py
@@ -146,7 +146,7 @@
         return ShareReport(1, sequence, 10**9, full=full, pools=pools)
 
     for number in range(routers):
-        allocator.take_report(f"e{number:03d}", 1, report(number, 1, True), now)
+        allocator.handle_report(f"e{number:03d}", 1, report(number, 1, True), now)
     allocator.tick(now)
     rounds = 6
     take_seconds = tick_seconds = 0.0
@@ -155,7 +155,7 @@
         now += 0.5
         began = process_time()
         for number in range(routers):
-            allocator.take_report(
+            allocator.handle_report(
                 f"e{number:03d}", 1, report(number, sequence, False), now
             )
         taken = process_time()
--- a/sesameford/allocator.py
+++ b/sesameford/allocator.py
@@ -99,7 +99,9 @@
             old.owner_of,
         )
 
-    def observe_places(self, elected: Mapping[str, str], now_seconds: float) -> None:
+    def observe_remote_allocators(
+        self, elected: Mapping[str, str], now_seconds: float
+    ) -> None:
         """Take the present allocators of the other data centres."""
         places = self.state.places
         for name in [known for known in places if known not in elected]:
@@ -127,14 +129,14 @@
         link.requests_full = True
         self.state.places[name] = RemoteAllocator(link)
 
-    def seed(self, account: Account, virtual_time: float) -> None:
+    def seed_virtual_time(self, account: Account, virtual_time: float) -> None:
         """Take a virtual time that this instance knew as a router."""
         pool = self.state.pool(account[0])
         pool.times.merge_snapshot(account[1], virtual_time)
 
     # --- messages ------------------------------------------------------------------
 
-    def take_report(
+    def handle_report(
         self,
         sender_id: str,
         incarnation: int,
@@ -214,7 +216,7 @@
             virtual_times[row.customer_id] = row.virtual_time + uncounted
         return virtual_times
 
-    def take_grants(
+    def handle_grants(
         self, sender_id: str, incarnation: int, grants: SlotGrants, now_seconds: float
     ) -> bool:
         """Take another allocator's answer; False if it is for the router here."""
--- a/sesameford/leased.py
+++ b/sesameford/leased.py
@@ -132,11 +132,11 @@
             ]
             self._allocator.activate(expected, now_seconds)
             for account in self._state.virtual_times.accounts():
-                self._allocator.seed(account, self._virtual_time(account))
+                self._allocator.seed_virtual_time(account, self._virtual_time(account))
         elif not serves and self._allocator.active:
             self._allocator.deactivate()
         if self._allocator.active:
-            self._allocator.observe_places(others, now_seconds)
+            self._allocator.observe_remote_allocators(others, now_seconds)
         owners = self._election.owners(self._state.targets.values(), now_seconds)
         self._allocator.observe_targets(
             self._state.targets, self._state.pool_of, owners
@@ -371,8 +371,8 @@
     ) -> None:
         """Apply a report or grants from another instance."""
         if isinstance(message, ShareReport):
-            self._allocator.take_report(sender_id, incarnation, message, now_seconds)
-        elif isinstance(message, SlotGrants) and not self._allocator.take_grants(
+            self._allocator.handle_report(sender_id, incarnation, message, now_seconds)
+        elif isinstance(message, SlotGrants) and not self._allocator.handle_grants(
             sender_id, incarnation, message, now_seconds
         ):
             self._handle_grants(sender_id, incarnation, message, now_seconds)
