--- a/sesameford/allocator_state.py
+++ b/sesameford/allocator_state.py
@@ -17,19 +17,22 @@
     regrow_window,
 )
 
+# A customer whose requests wait for less than this has neither credit nor debt.
 PATIENCE_SECONDS = 0.5
+# The largest distance of a waiting customer from the mean of all waiting customers,
+# so that debt from a network cut starves no customer.
 DEBT_QUANTA = 20.0
-CONTENTION_KEPT_SECONDS = 0.5
-_PACE_SECONDS = 1.0
-_PACE_STEP = 0.3
+CONTENTION_HOLD_SECONDS = 0.5
+_RATE_INTERVAL_SECONDS = 1.0
+_RATE_SMOOTHING_FACTOR = 0.3
 
 
 @dataclass(slots=True)
 class PoolState:
-    """What the allocator knows of one pool.
+    """The allocator's state for one pool.
 
-    ``slot_cost_units_per_second`` is what one slot serves, measured over the
-    data centre's own routers.
+    ``slot_cost_units_per_second`` is the service rate of one slot, measured over
+    the data centre's own routers.
     """
 
     times: VirtualTimes
@@ -37,24 +40,28 @@
     contended_until_seconds: float = float("-inf")
     floor_virtual_time: float | None = None
     charged_cost_units: float = 0.0
-    paced_at_seconds: float = float("-inf")
+    rate_measured_at_seconds: float = float("-inf")
     moved_at_seconds: float = float("-inf")
 
 
 @dataclass(slots=True)
 class RemoteAllocator:
-    """Another data centre: its allocator, and what it last said of its pools."""
+    """The link to another data centre's allocator and its last update of each pool."""
 
     link: ReportLink
-    news: dict[str, PoolUpdate] = field(default_factory=dict)
-    reported_wanted: dict[str, float] = field(default_factory=dict)
+    pool_updates: dict[str, PoolUpdate] = field(default_factory=dict)
+    reported_limit_demands: dict[str, float] = field(default_factory=dict)
     reported_slots: dict[str, int] = field(default_factory=dict)
     reported_times_at_seconds: float = float("-inf")
 
 
 @dataclass(slots=True)
 class AllocatorState:
-    """The tables; ``links`` are the holders, ``places`` the other allocators."""
+    """The tables of an allocator.
+
+    ``links`` has one entry for each holder of slots, ``remote_allocators`` one for
+    the allocator of each other data centre.
+    """
 
     instance_id: str
     data_centre: str
@@ -65,11 +72,11 @@
     expected: frozenset[str] = frozenset()
     activated_at_seconds: float = float("-inf")
     links: dict[str, GrantLink] = field(default_factory=dict)
-    places: dict[str, RemoteAllocator] = field(default_factory=dict)
+    remote_allocators: dict[str, RemoteAllocator] = field(default_factory=dict)
     pools: dict[str, PoolState] = field(default_factory=dict)
     origins: OriginTotals = field(default_factory=OriginTotals)
     totals: OwnTotals = field(default_factory=OwnTotals)
-    place_wanted: dict[str, dict[str, float]] = field(default_factory=dict)
+    remote_limit_demands: dict[str, dict[str, float]] = field(default_factory=dict)
     windows: dict[str, tuple[int, Window]] = field(default_factory=dict)
     changed: bool = True
     allocated_at_seconds: float = float("-inf")
@@ -79,7 +86,7 @@
         return self.tree.fleet.quantum_cost_units
 
     def pool(self, pool: str) -> PoolState:
-        """Return a pool's state, made when it is new."""
+        """Return a pool's state, created if it is missing."""
         state = self.pools.get(pool)
         if state is None:
             debt_limit = DEBT_QUANTA * self.quantum()
@@ -94,10 +101,10 @@
 
     def routers(self) -> Iterator[GrantLink]:
         """Return the links of the data centre's own routers."""
-        return (link for link in self.links.values() if not link.is_place)
+        return (link for link in self.links.values() if not link.is_remote_allocator)
 
     def owns(self, target_id: str) -> bool:
-        """Return whether this allocator deals out a target's slots first-hand."""
+        """Return whether this allocator owns a target's slots."""
         return self.owner_of.get(target_id) == self.data_centre
 
     def pool_of_target(self, target_id: str) -> str | None:
@@ -107,25 +114,25 @@
             return None
         return self.pool_of.get(target.serves[0])
 
-    def held(self) -> dict[str, int]:
-        """Return the slots dealt out, by target."""
-        held: dict[str, int] = {}
+    def granted_slots(self) -> dict[str, int]:
+        """Return the number of granted slots by target."""
+        granted: dict[str, int] = {}
         for link in self.links.values():
             for target_id, slots in link.holdings.items():
-                held[target_id] = held.get(target_id, 0) + slots
-        return held
+                granted[target_id] = granted.get(target_id, 0) + slots
+        return granted
 
     def capacity(self, target_id: str, now_seconds: float) -> int:
-        """Return how many slots of a target this allocator may deal out."""
+        """Return how many slots of a target this allocator may grant."""
         if self.owns(target_id):
-            return self._regrown(target_id, now_seconds).slots
-        place = self.places.get(self.owner_of.get(target_id, ""))
-        if place is None or not place.link.has_valid_lease(now_seconds):
+            return self._regrow_window(target_id, now_seconds).slots
+        remote = self.remote_allocators.get(self.owner_of.get(target_id, ""))
+        if remote is None or not remote.link.has_valid_lease(now_seconds):
             return 0
-        return place.link.holdings.get(target_id, 0)
+        return remote.link.holdings.get(target_id, 0)
 
     def window(self, target_id: str) -> Window:
-        """Return an own target's window, made new for a new incarnation."""
+        """Return the window of an owned target, reset for a new incarnation."""
         target = self.targets[target_id]
         incarnation, window = self.windows.get(target_id, (-1, make_window(0)))
         announced = target.capacity_slots
@@ -134,31 +141,31 @@
             self.windows[target_id] = (target.incarnation, window)
         return window
 
-    def _regrown(self, target_id: str, now_seconds: float) -> Window:
+    def _regrow_window(self, target_id: str, now_seconds: float) -> Window:
         window = regrow_window(self.window(target_id), now_seconds)
         self.windows[target_id] = (self.targets[target_id].incarnation, window)
         return window
 
-    def take_pace(
+    def record_completions(
         self, link: GrantLink, row: CompletionTotalsRow, now_seconds: float
     ) -> None:
-        """Adapt a target's window to completions that a router reports."""
+        """Adapt a target's window to the completions that a router reports."""
         if not self.owns(row.target_id) or row.target_id not in self.targets:
             return
         total = CompletionTotals(row.completions, row.cost_units, row.busy_seconds)
-        known = link.paces.get(row.target_id, CompletionTotals())
-        link.paces[row.target_id] = total
-        if total.completions > known.completions:
-            added = total.minus(known)
+        previous = link.completion_totals.get(row.target_id, CompletionTotals())
+        link.completion_totals[row.target_id] = total
+        if total.completions > previous.completions:
+            added = total.minus(previous)
             window = adapt_window(self.window(row.target_id), added, now_seconds)
             incarnation = self.targets[row.target_id].incarnation
             self.windows[row.target_id] = (incarnation, window)
 
-    def note_pace(self, pool: str, now_seconds: float) -> None:
-        """Measure what a slot serves in a second."""
+    def update_slot_rate(self, pool: str, now_seconds: float) -> None:
+        """Update the measured service rate of a pool's slots."""
         state = self.pool(pool)
-        elapsed = now_seconds - state.paced_at_seconds
-        if elapsed < _PACE_SECONDS:
+        elapsed = now_seconds - state.rate_measured_at_seconds
+        if elapsed < _RATE_INTERVAL_SECONDS:
             return
         accounts = self.totals.totals_by_account()
         charged = sum(total for key, total in accounts.items() if key[0] == pool)
@@ -168,10 +175,10 @@
             for target_id, held in link.holdings.items()
             if self.pool_of_target(target_id) == pool
         )
-        grown = charged - state.charged_cost_units
-        if slots and grown > 0.0 and elapsed < 10.0 * _PACE_SECONDS:
-            pace = grown / elapsed / slots
-            change = pace - state.slot_cost_units_per_second
-            state.slot_cost_units_per_second += _PACE_STEP * change
+        served = charged - state.charged_cost_units
+        if slots and served > 0.0 and elapsed < 10.0 * _RATE_INTERVAL_SECONDS:
+            measured_rate = served / elapsed / slots
+            change = measured_rate - state.slot_cost_units_per_second
+            state.slot_cost_units_per_second += _RATE_SMOOTHING_FACTOR * change
         state.charged_cost_units = charged
-        state.paced_at_seconds = now_seconds
+        state.rate_measured_at_seconds = now_seconds
--- a/sesameford/gap_bound.py
+++ b/sesameford/gap_bound.py
@@ -1,9 +1,9 @@
-"""The derived bound on the service gap; docs/FAIRNESS.md has the derivation."""
+"""Computes the bound on the service gap; docs/FAIRNESS.md has the derivation."""
 
-from sesameford.pool_allocation import LENDING_HANDICAP_QUANTA
+from sesameford.pool_allocation import LENDING_PENALTY_QUANTA
 
-# A report waits for the next batch, the allocator moves slots at its own pace, and
-# a slot that was asked back passes up and down the links.
+# The longest wait for the next report, the interval between slot moves, and the trip
+# of a recalled slot over both links.
 STALENESS_SECONDS = 0.5 + 0.35 + 0.25
 
 
@@ -17,18 +17,18 @@
     """Return the bound B on the service gap of two backlogged customers.
 
     Args:
-        slots: Of the whole pool.
-        slot_cost_units_per_second: What one slot serves.
-        in_flight_cost_units: What is charged but not yet served per slot: the
-            largest cost for a bound that always holds, or half the ratio of the
-            second moment of costs to the first for what is found on average.
-        quantum_cost_units: The tree's.
-        smallest_share: Of the customers compared.
+        slots: Slots of the whole pool.
+        slot_cost_units_per_second: Service rate of one slot.
+        in_flight_cost_units: Cost per slot that is charged but not yet served. The
+            largest cost gives a bound that always holds; half the ratio of the
+            second moment of costs to the first gives the average case.
+        quantum_cost_units: The tree's quantum.
+        smallest_share: The smallest share of the compared customers.
 
     Returns:
-        Cost units over share.
+        Cost units divided by share.
     """
     running = slots * in_flight_cost_units
     stale = slots * slot_cost_units_per_second * STALENESS_SECONDS
-    steering = quantum_cost_units * (1.0 + LENDING_HANDICAP_QUANTA)
+    steering = quantum_cost_units * (1.0 + LENDING_PENALTY_QUANTA)
     return (running + stale + steering) / smallest_share
--- a/sesameford/grant_answers.py
+++ b/sesameford/grant_answers.py
@@ -1,4 +1,4 @@
-"""Answers of an allocator to its holders: renewal, grants, standings, limits."""
+"""Answers of an allocator to its holders: renewals, grants, pool updates, limits."""
 
 from collections.abc import Collection, Mapping
 
@@ -7,7 +7,7 @@
 from sesameford.links import (
     COALESCE_SECONDS,
     HEARTBEAT_SECONDS,
-    JOINED_FRACTION,
+    JOINED_HEARTBEAT_FRACTION,
     GrantLink,
 )
 from sesameford.messages import Outgoing
@@ -18,19 +18,20 @@
     VirtualTimeRow,
 )
 
-_STANDING_THRESHOLD_QUANTA = 0.25
-_STANDINGS_REPORTED = 64
-_FRACTION_CHANGE_REPORTED = 0.1
+_VIRTUAL_TIME_THRESHOLD_QUANTA = 0.25
+_MAX_VIRTUAL_TIME_ROWS = 64
+_LIMIT_SHARE_CHANGE_FRACTION = 0.1
 
 
-def grant_answers(
+def collect_grant_answers(
     state: AllocatorState, joined: Collection[str], now_seconds: float
 ) -> list[Outgoing]:
     """Return the answers that are due.
 
     Args:
         state: The allocator's tables.
-        joined: Receivers that get a message now anyway; see ``place_reports``.
+        joined: Receivers that are sent a message now anyway; see
+            ``collect_remote_reports``.
         now_seconds: The present time.
 
     Returns:
@@ -44,17 +45,17 @@
         urgent = link.urgent or link.full_due or link.requests_full
         heartbeat = HEARTBEAT_SECONDS
         if holder_id in joined:
-            heartbeat *= JOINED_FRACTION
-        inner = holder_id == state.instance_id
-        coalesce = 0.0 if inner else COALESCE_SECONDS
+            heartbeat *= JOINED_HEARTBEAT_FRACTION
+        is_own_router = holder_id == state.instance_id
+        coalesce = 0.0 if is_own_router else COALESCE_SECONDS
         if since < (coalesce if urgent else heartbeat):
             continue
         if fractions is None:
-            fractions = _fractions(state)
-        pools = _news(state, link, now_seconds)
+            fractions = _limit_fractions(state)
+        pools = _pool_updates(state, link, now_seconds)
         limits = _limit_rows(link, fractions)
         full = link.full_due
-        sequence, grants, recalls = link.begin_message(now_seconds)
+        sequence, grants, recalls = link.prepare_message(now_seconds)
         link.full_due = False
         message = SlotGrants(
             link.term,
@@ -71,28 +72,36 @@
     return messages
 
 
-def _news(
+def _pool_updates(
     state: AllocatorState, link: GrantLink, now_seconds: float
 ) -> tuple[PoolUpdate, ...]:
-    """Return what a holder should know of the pools."""
-    news = []
+    """Return the changed state of the pools for a holder."""
+    updates = []
     for pool, pool_state in sorted(state.pools.items()):
         contended = now_seconds < pool_state.contended_until_seconds
-        standings = () if link.is_place else _standings(state, link, pool, pool_state)
-        if not contended and not standings and not link.reported_contended.get(pool):
+        virtual_times = (
+            ()
+            if link.is_remote_allocator
+            else _virtual_time_rows(state, link, pool, pool_state)
+        )
+        if (
+            not contended
+            and not virtual_times
+            and not link.reported_contended.get(pool)
+        ):
             continue
         link.reported_contended[pool] = contended
         floor = pool_state.floor_virtual_time
         floor = None if floor is None else round(floor, 1)
-        news.append(PoolUpdate(pool, contended, floor, standings))
-    return tuple(news)
+        updates.append(PoolUpdate(pool, contended, floor, virtual_times))
+    return tuple(updates)
 
 
-def _standings(
+def _virtual_time_rows(
     state: AllocatorState, link: GrantLink, pool: str, pool_state: PoolState
 ) -> tuple[VirtualTimeRow, ...]:
-    """Return the virtual times that a router needs and does not know."""
-    threshold = _STANDING_THRESHOLD_QUANTA * state.quantum()
+    """Return the changed virtual times of a router's waiting customers."""
+    threshold = _VIRTUAL_TIME_THRESHOLD_QUANTA * state.quantum()
     rows = []
     customers = sorted({key[1] for key in link.demands if key[0] == pool})
     for customer in customers:
@@ -103,31 +112,33 @@
             round(state.origins.total(link.holder_id, account), 1),
         )
         share = state.share(customer)
-        if link.standing_is_news(account, row, share, threshold):
+        if link.record_virtual_time_change(account, row, share, threshold):
             rows.append(row)
-        if len(rows) >= _STANDINGS_REPORTED:
+        if len(rows) >= _MAX_VIRTUAL_TIME_ROWS:
             break
     return tuple(rows)
 
 
-def _fractions(state: AllocatorState) -> dict[str, dict[str, float]]:
-    """Return by customer the fraction of its limits for each router here.
+def _limit_fractions(state: AllocatorState) -> dict[str, dict[str, float]]:
+    """Return the fraction of a customer's limits for each local router, by customer.
 
-    A data centre that is cut off keeps its last demand in the split, so both
-    sides go on with the fractions they had.
+    The split still counts the last demand of a data centre that is cut off, so both
+    sides continue with their previous fractions.
     """
     by_customer: dict[str, dict[str, float]] = {}
     routers = list(state.routers())
-    customers = {customer for link in routers for customer in link.wanted}
-    places = {*state.place_wanted, *state.places}
+    customers = {customer for link in routers for customer in link.limit_demands}
+    data_centres = {*state.remote_limit_demands, *state.remote_allocators}
     for customer in customers:
-        local = {link.holder_id: link.wanted.get(customer, 0.0) for link in routers}
-        wanted = {
-            place: state.place_wanted.get(place, {}).get(customer, 0.0)
-            for place in places
+        local = {
+            link.holder_id: link.limit_demands.get(customer, 0.0) for link in routers
+        }
+        limit_demands = {
+            name: state.remote_limit_demands.get(name, {}).get(customer, 0.0)
+            for name in data_centres
         }
-        wanted[state.data_centre] = sum(local.values())
-        own = split_fractions(wanted)[state.data_centre]
+        limit_demands[state.data_centre] = sum(local.values())
+        own = split_fractions(limit_demands)[state.data_centre]
         by_customer[customer] = {
             holder: own * fraction
             for holder, fraction in split_fractions(local).items()
@@ -138,16 +149,16 @@
 def _limit_rows(
     link: GrantLink, fractions: Mapping[str, Mapping[str, float]]
 ) -> tuple[LimitShareRow, ...]:
-    """Return the fractions of limits that changed much for a router."""
+    """Return the fractions of limits that changed enough for a router."""
     rows = []
     for customer, by_holder in sorted(fractions.items()):
         fraction = by_holder.get(link.holder_id)
         if fraction is None:
             continue
         reported = link.reported_fractions.get(customer)
-        change = _FRACTION_CHANGE_REPORTED * max(fraction, reported or 0.0)
-        known = reported is not None and abs(fraction - reported) <= change
-        if known and not link.full_due:
+        change = _LIMIT_SHARE_CHANGE_FRACTION * max(fraction, reported or 0.0)
+        is_unchanged = reported is not None and abs(fraction - reported) <= change
+        if is_unchanged and not link.full_due:
             continue
         link.reported_fractions[customer] = fraction
         rows.append(LimitShareRow(customer, round(fraction, 4)))
--- a/sesameford/links.py
+++ b/sesameford/links.py
@@ -1,9 +1,9 @@
 """Both ends of the link between a holder of slots and the allocator it reports to.
 
 The holder is a router, or the allocator of another data centre. It sends
-``ShareReport`` and gets ``SlotGrants``. Each direction is numbered within a term
-that the holder chooses; rows are absolute and sent where they changed; a gap in
-the numbers makes the receiver ask for the full state.
+``ShareReport`` and receives ``SlotGrants``. Each direction is numbered within a term
+that the holder chooses. Rows contain absolute values and are sent when they change.
+A gap in the numbers makes the receiver request the full state.
 """
 
 from collections.abc import Iterable, Mapping
@@ -24,24 +24,24 @@
 from sesameford.windows import CompletionTotals
 
 LEASE_SECONDS = 2.0
-# An allocator that has not answered until so little of the lease is left is given up.
+# An allocator is replaced if it has not answered when only this much lease is left.
 SUSPECT_SECONDS = 0.6
 HEARTBEAT_SECONDS = 0.5
 COALESCE_SECONDS = 0.02
-JOINED_FRACTION = 0.5
+JOINED_HEARTBEAT_FRACTION = 0.5
 LEASE_NEAR_EXPIRY_SECONDS = 1.2
 RESEND_SECONDS = 0.15
-_AGE_REPORTED_SECONDS = 0.2
-_COMPLETIONS_REPORTED = 16
-_SENT_REPORTS_KEPT = 256
+_AGE_CHANGE_SECONDS = 0.2
+_MIN_NEW_COMPLETIONS = 16
+_MAX_SENT_REPORTS = 256
 
 DemandKey = tuple[str, str, str]
-"""A pool, a customer and a resource."""
+"""Pool, customer and resource."""
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Waiting requests, their estimated cost, and since when the oldest waits."""
+    """Waiting requests, their estimated cost, and the arrival time of the oldest."""
 
     requests: int
     cost_units: float
@@ -50,10 +50,10 @@
 
 @dataclass(slots=True)
 class ReportLink:
-    """The holder's end.
+    """The holder's end of the link.
 
-    ``holdings`` are the slots granted, by target. ``base`` is what was already
-    reported of the totals when the term began; the others count from there.
+    ``holdings`` has the granted slots by target. ``base`` has the part of the totals
+    that was reported before the term started; reports count from there.
     """
 
     receiver_id: str
@@ -65,7 +65,7 @@
     sequence: int = 0
     acknowledged_grants: int = 0
     lease_expires_at_seconds: float = 0.0
-    regained_at_seconds: float = float("-inf")
+    lease_regained_at_seconds: float = float("-inf")
     full_due: bool = True
     requests_full: bool = False
     answered: bool = False
@@ -74,18 +74,21 @@
     reported_served: dict[Account, float] = field(default_factory=dict)
     reported_demands: dict[DemandKey, Demand] = field(default_factory=dict)
     reported_holdings: dict[str, int] = field(default_factory=dict)
-    reported_paces: dict[str, CompletionTotals] = field(default_factory=dict)
-    pace_base: dict[str, CompletionTotals] = field(default_factory=dict)
+    reported_completion_totals: dict[str, CompletionTotals] = field(
+        default_factory=dict
+    )
+    completion_totals_base: dict[str, CompletionTotals] = field(default_factory=dict)
 
     def has_valid_lease(self, now_seconds: float) -> bool:
-        """Return whether the lease on the holdings still runs."""
+        """Return whether the lease on the holdings has not expired."""
         return now_seconds < self.lease_expires_at_seconds
 
     def is_lease_near_expiry(self, now_seconds: float) -> bool:
-        """Return whether the lease is near its end for want of answers.
+        """Return whether missing answers let the lease come close to its expiry.
 
-        Reports or answers are being lost. What runs when a lease ends runs beside
-        what the next holder starts, so it is worth a few more messages.
+        Reports or answers are being lost. Requests that still run when a lease
+        expires run beside those that the next holder starts, so the link sends a few
+        additional reports.
         """
         left = self.lease_expires_at_seconds - now_seconds
         since = now_seconds - self.sent_at_seconds
@@ -96,38 +99,39 @@
         )
 
     def total_since_base(self, account: Account, total: float) -> float:
-        """Return what this link tells of an own total."""
+        """Return the part of a total that this link reports."""
         return total - self.base.get(account, 0.0)
 
     def apply_grants(
         self, grants: SlotGrants, incarnation: int, now_seconds: float
     ) -> bool:
-        """Take an allocator's answer.
+        """Apply an allocator's answer.
 
         Args:
             grants: The message.
-            incarnation: The sender's.
+            incarnation: The sender's incarnation.
             now_seconds: The present time.
 
         Returns:
-            False where the message is from the past and must be ignored.
+            False if the message is outdated and was ignored.
         """
         if grants.term != self.term or grants.sequence <= self.acknowledged_grants:
             return False
         if grants.acknowledged_report > self.sequence:
-            # It answers the process that ran here before, whose terms had the same
-            # numbers. Taken for the newest, it would hide all that is meant for this.
+            # It answers the previous process of this instance, whose terms had the
+            # same numbers. If it counted as the newest answer, all answers to this
+            # process would be ignored.
             return False
         if self.receiver_incarnation is None:
             self.receiver_incarnation = incarnation
         if not self.has_valid_lease(now_seconds):
-            self.regained_at_seconds = now_seconds
+            self.lease_regained_at_seconds = now_seconds
         if grants.full:
             self.holdings = {row.target_id: row.slots for row in grants.grants}
             self.reported_holdings = dict(self.holdings)
             self.requests_full = False
         else:
-            # A lost message may have held a grant that would now idle.
+            # A lost message may have contained a grant whose slot would stay idle.
             if grants.sequence != self.acknowledged_grants + 1:
                 self.requests_full = True
             for row in grants.grants:
@@ -140,30 +144,32 @@
             self.full_due = True
         self.acknowledged_grants = grants.sequence
         self.answered = True
-        self._renew(grants.acknowledged_report)
+        self._renew_lease(grants.acknowledged_report)
         return True
 
     def has_slots_to_return(self, running: Mapping[str, int]) -> bool:
-        """Return whether the receiver counts slots that are free here."""
+        """Return whether the receiver still counts slots that are free here."""
         return any(
             max(self.holdings.get(target_id, 0), running.get(target_id, 0)) < reported
             for target_id, reported in self.reported_holdings.items()
         )
 
-    def _renew(self, acknowledged_report: int) -> None:
-        """Run the lease from when the report that was answered left here."""
+    def _renew_lease(self, acknowledged_report: int) -> None:
+        """Extend the lease, counted from when the acknowledged report was sent."""
         sent_at = self.sent.get(acknowledged_report)
         if sent_at is not None:
             expiry = sent_at + LEASE_SECONDS
             self.lease_expires_at_seconds = max(self.lease_expires_at_seconds, expiry)
-        for sequence in [known for known in self.sent if known < acknowledged_report]:
+        for sequence in [
+            number for number in self.sent if number < acknowledged_report
+        ]:
             del self.sent[sequence]
 
     def record_sent_report(self, now_seconds: float) -> int:
-        """Count a report that leaves now and return its number."""
+        """Number a report that is sent now and return its sequence."""
         self.sequence += 1
         self.sent[self.sequence] = now_seconds
-        if len(self.sent) > _SENT_REPORTS_KEPT:
+        if len(self.sent) > _MAX_SENT_REPORTS:
             del self.sent[min(self.sent)]
         self.sent_at_seconds = now_seconds
         return self.sequence
@@ -171,7 +177,7 @@
     def served_rows(
         self, totals: Mapping[Account, float], threshold_cost_units: float
     ) -> dict[str, list[ServedRow]]:
-        """Return by pool the totals that moved by more than a threshold."""
+        """Return the totals that changed by more than a threshold, by pool."""
         rows: dict[str, list[ServedRow]] = {}
         for account, total in totals.items():
             since = self.total_since_base(account, total)
@@ -189,9 +195,10 @@
         exact_requests: int,
         now_seconds: float,
     ) -> dict[str, list[DemandRow]]:
-        """Return by pool the demands that are worth telling.
+        """Return the demands that changed enough to be reported, by pool.
 
-        Up to ``exact_requests`` every change is, above that one by a quarter.
+        Up to ``exact_requests`` every change is reported, above that a change by a
+        quarter.
         """
         if self.full_due:
             self.reported_demands = {}
@@ -202,7 +209,7 @@
             rows.setdefault(key[0], []).append(DemandRow(key[1], key[2]))
         for key, demand in demands.items():
             reported = self.reported_demands.get(key)
-            if not _worth_a_row(demand, reported, exact_requests):
+            if not _is_row_due(demand, reported, exact_requests):
                 continue
             self.reported_demands[key] = demand
             row = DemandRow(
@@ -216,17 +223,19 @@
         return rows
 
     def completion_rows(
-        self, paces: Mapping[str, CompletionTotals]
+        self, completion_totals: Mapping[str, CompletionTotals]
     ) -> tuple[CompletionTotalsRow, ...]:
-        """Return the completions since the term began that grew by enough."""
+        """Return the completions since the term started, where enough are new."""
         rows = []
-        for target_id, pace in paces.items():
-            base = self.pace_base.setdefault(target_id, pace)
-            since = pace.minus(base)
-            reported = self.reported_paces.get(target_id, CompletionTotals())
-            if since.completions - reported.completions < _COMPLETIONS_REPORTED:
+        for target_id, total in completion_totals.items():
+            base = self.completion_totals_base.setdefault(target_id, total)
+            since = total.minus(base)
+            reported = self.reported_completion_totals.get(
+                target_id, CompletionTotals()
+            )
+            if since.completions - reported.completions < _MIN_NEW_COMPLETIONS:
                 continue
-            self.reported_paces[target_id] = since
+            self.reported_completion_totals[target_id] = since
             rows.append(
                 CompletionTotalsRow(
                     target_id,
@@ -237,13 +246,13 @@
             )
         return tuple(rows)
 
-    def give_back(self, target_ids: Iterable[str]) -> None:
-        """Hold no slots of some targets any more; the next report says so."""
+    def return_slots(self, target_ids: Iterable[str]) -> None:
+        """Return all slots of some targets with the next report."""
         for target_id in target_ids:
             self.holdings[target_id] = 0
 
     def holding_rows(self, running: Mapping[str, int]) -> list[HoldingRow]:
-        """Return the holdings that the receiver does not know yet."""
+        """Return the holdings that changed since they were last reported."""
         if self.full_due:
             self.reported_holdings = {}
         rows = []
@@ -256,13 +265,13 @@
         return rows
 
 
-def _worth_a_row(demand: Demand, reported: Demand | None, exact_requests: int) -> bool:
+def _is_row_due(demand: Demand, reported: Demand | None, exact_requests: int) -> bool:
     """Return whether a changed demand is worth sending with the next report."""
     if reported is None:
         return True
     if min(demand.requests, reported.requests) <= exact_requests:
         younger = demand.since_seconds - reported.since_seconds
-        return demand.requests != reported.requests or younger > _AGE_REPORTED_SECONDS
+        return demand.requests != reported.requests or younger > _AGE_CHANGE_SECONDS
     return not reported.requests / 1.25 <= demand.requests <= reported.requests * 1.25
 
 
@@ -280,7 +289,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingGrant:
-    """A slot granted for a customer's work that the holder has not seen yet."""
+    """A slot granted for a customer's work that the holder has not acknowledged."""
 
     sequence: int
     key: DemandKey
@@ -289,7 +298,10 @@
 
 @dataclass(slots=True)
 class GrantLink:
-    """The allocator's end: what one holder holds, wants and was sent."""
+    """The allocator's end: one holder's slots, demands and last sent values.
+
+    ``data_centre`` is set if the holder is another data centre's allocator.
+    """
 
     holder_id: str
     data_centre: str
@@ -305,35 +317,35 @@
     urgent: bool = False
     sent_at_seconds: float = float("-inf")
     holdings: dict[str, int] = field(default_factory=dict)
-    raised: set[str] = field(default_factory=set)
-    lowered: set[str] = field(default_factory=set)
-    granted_in: dict[str, int] = field(default_factory=dict)
-    asked: dict[str, int] = field(default_factory=dict)
+    granted_targets: set[str] = field(default_factory=set)
+    recalled_targets: set[str] = field(default_factory=set)
+    grant_sequences: dict[str, int] = field(default_factory=dict)
+    open_recalls: dict[str, int] = field(default_factory=dict)
     demands: dict[DemandKey, Demand] = field(default_factory=dict)
     pending: list[PendingGrant] = field(default_factory=list)
-    reported_standings: dict[Account, float] = field(default_factory=dict)
+    reported_foreign_virtual_times: dict[Account, float] = field(default_factory=dict)
     reported_contended: dict[str, bool] = field(default_factory=dict)
-    place_slots: dict[str, int] = field(default_factory=dict)
+    remote_slots: dict[str, int] = field(default_factory=dict)
     reported_fractions: dict[str, float] = field(default_factory=dict)
-    wanted: dict[str, float] = field(default_factory=dict)
-    paces: dict[str, CompletionTotals] = field(default_factory=dict)
+    limit_demands: dict[str, float] = field(default_factory=dict)
+    completion_totals: dict[str, CompletionTotals] = field(default_factory=dict)
 
     @property
-    def is_place(self) -> bool:
+    def is_remote_allocator(self) -> bool:
         """Return whether the holder is another data centre's allocator."""
         return bool(self.data_centre)
 
     def is_silent(self, now_seconds: float) -> bool:
-        """Return whether the holder's lease is over for certain.
+        """Return whether the holder's lease has certainly expired.
 
-        Another data centre's routers hold from their allocator, whose lease on
-        them can run on for as long again.
+        The routers of another data centre hold slots under a lease of their own
+        allocator, which can run for the same time again.
         """
-        lease = LEASE_SECONDS * (2.0 if self.is_place else 1.0)
+        lease = LEASE_SECONDS * (2.0 if self.is_remote_allocator else 1.0)
         return now_seconds > self.last_seen_at_seconds + lease * 1.05
 
-    def accept(self, report: ShareReport, now_seconds: float) -> bool:
-        """Check a report's number; False for one from the past."""
+    def accept_report(self, report: ShareReport, now_seconds: float) -> bool:
+        """Check a report's sequence and acknowledgements; False if it is outdated."""
         if report.sequence <= self.acknowledged_report:
             return False
         in_order = report.sequence == self.acknowledged_report + 1
@@ -348,7 +360,7 @@
             report.acknowledged_grants < self.sequence
             and now_seconds - self.sent_at_seconds >= RESEND_SECONDS
         ):
-            # The last answer seems lost, and the holder's lease runs on answers.
+            # The last answer seems lost, and answers renew the holder's lease.
             self.urgent = True
         self.acknowledged_report = report.sequence
         self.last_seen_at_seconds = now_seconds
@@ -360,10 +372,10 @@
         ]
         return True
 
-    def take_demands(
+    def record_demands(
         self, pool: str, rows: Iterable[DemandRow], now_seconds: float
     ) -> None:
-        """Take what waits at the holder."""
+        """Update the holder's waiting work in one pool."""
         for row in rows:
             key = (pool, row.customer_id, row.resource)
             if row.waiting_requests > 0:
@@ -373,85 +385,93 @@
             else:
                 self.demands.pop(key, None)
 
-    def take_holdings(self, report: ShareReport) -> None:
-        """Take what the holder keeps, where it knows the latest grant.
+    def record_holdings(self, report: ShareReport) -> None:
+        """Update the holder's slots of targets whose latest grant it has received.
 
-        A report that crossed a newer grant speaks of the time before it; the
-        grant stands, and the holder reports again once it has it.
+        A report that crossed a newer grant describes the time before it. The granted
+        count remains, and the holder reports again once it has received the grant.
         """
         reported = {row.target_id: row.slots for row in report.holdings}
         if report.full:
             for target_id in self.holdings:
                 reported.setdefault(target_id, 0)
         for target_id, slots in reported.items():
-            crossed = self.granted_in.get(target_id, 0) > self.acknowledged_grants
-            if not crossed and target_id not in self.raised:
-                self._hold(target_id, slots)
+            crossed = self.grant_sequences.get(target_id, 0) > self.acknowledged_grants
+            if not crossed and target_id not in self.granted_targets:
+                self._set_holding(target_id, slots)
 
-    def _hold(self, target_id: str, slots: int) -> None:
-        """Set a holding; none is no row."""
+    def _set_holding(self, target_id: str, slots: int) -> None:
+        """Set the number of held slots of a target; zero removes the entry."""
         if slots > 0:
             self.holdings[target_id] = slots
         else:
             self.holdings.pop(target_id, None)
-        if slots <= self.asked.get(target_id, -1):
-            del self.asked[target_id]
+        if slots <= self.open_recalls.get(target_id, -1):
+            del self.open_recalls[target_id]
 
     def grant(self, target_id: str, slots: int) -> None:
-        """Raise a holding by some slots with the next message."""
+        """Add slots to a holding; the next message sends the grant."""
         self.holdings[target_id] = self.holdings.get(target_id, 0) + slots
-        if target_id in self.asked:
-            self.asked[target_id] += slots
-        self.raised.add(target_id)
+        if target_id in self.open_recalls:
+            self.open_recalls[target_id] += slots
+        self.granted_targets.add(target_id)
         self.urgent = True
 
     def recall(self, target_id: str, slots: int) -> None:
-        """Ask the holder to come down to some slots; it holds until it says so."""
-        if self.allowed(target_id) > slots:
-            self.asked[target_id] = slots
-            self.lowered.add(target_id)
+        """Recall slots above a number.
+
+        They count as held until the holder returns them.
+        """
+        if self.slots_after_recalls(target_id) > slots:
+            self.open_recalls[target_id] = slots
+            self.recalled_targets.add(target_id)
             self.urgent = True
 
-    def allowed(self, target_id: str) -> int:
-        """Return how many slots the holder keeps once it has met all recalls."""
+    def slots_after_recalls(self, target_id: str) -> int:
+        """Return how many slots the holder keeps after all open recalls."""
         held = self.holdings.get(target_id, 0)
-        return min(held, self.asked.get(target_id, held))
+        return min(held, self.open_recalls.get(target_id, held))
 
-    def uncovered(self, key: DemandKey) -> int:
-        """Return how many waiting requests no slot under way is meant for."""
+    def count_unassigned_requests(self, key: DemandKey) -> int:
+        """Return how many waiting requests have no granted slot in transit."""
         waiting = self.demands[key].requests
         return waiting - sum(1 for row in self.pending if row.key == key)
 
-    def begin_message(
+    def prepare_message(
         self, now_seconds: float
     ) -> tuple[int, tuple[GrantRow, ...], tuple[GrantRow, ...]]:
-        """Count a message that leaves now; return its number, grants and recalls."""
+        """Number a message that is sent now; return sequence, grants and recalls."""
         self.sequence += 1
         self.sent_at_seconds = now_seconds
-        granted = set(self.holdings) if self.full_due else self.raised
+        granted = set(self.holdings) if self.full_due else self.granted_targets
         for target_id in granted:
-            self.granted_in[target_id] = self.sequence
-        # A grant tells what is counted as held, so that a return can be held
-        # against it; an open recall of the same target goes beside it.
-        lowered = self.lowered | (granted & self.asked.keys())
-        grants = [GrantRow(one, self.holdings.get(one, 0)) for one in sorted(granted)]
-        recalls = [GrantRow(one, self.allowed(one)) for one in sorted(lowered)]
-        self.raised = set()
-        self.lowered = set()
+            self.grant_sequences[target_id] = self.sequence
+        # A grant contains the number of slots counted as held, so that returned slots
+        # can be compared with it. An open recall of the same target is sent with it.
+        recalled = self.recalled_targets | (granted & self.open_recalls.keys())
+        grants = [
+            GrantRow(target, self.holdings.get(target, 0)) for target in sorted(granted)
+        ]
+        recalls = [
+            GrantRow(target, self.slots_after_recalls(target))
+            for target in sorted(recalled)
+        ]
+        self.granted_targets = set()
+        self.recalled_targets = set()
         self.urgent = False
         return self.sequence, tuple(grants), tuple(recalls)
 
-    def standing_is_news(
-        self, account: Account, standing: VirtualTimeRow, share: float, threshold: float
+    def record_virtual_time_change(
+        self, account: Account, row: VirtualTimeRow, share: float, threshold: float
     ) -> bool:
-        """Return whether a virtual time moved by others' service; note that."""
-        foreign = standing.virtual_time - standing.counted_cost_units / share
-        reported = self.reported_standings.get(account)
+        """Record a virtual time; return whether others' service changed it enough."""
+        foreign_virtual_time = row.virtual_time - row.counted_cost_units / share
+        reported = self.reported_foreign_virtual_times.get(account)
         if (
             not self.full_due
             and reported is not None
-            and abs(foreign - reported) <= threshold
+            and abs(foreign_virtual_time - reported) <= threshold
         ):
             return False
-        self.reported_standings[account] = foreign
+        self.reported_foreign_virtual_times[account] = foreign_virtual_time
         return True
--- a/sesameford/pools.py
+++ b/sesameford/pools.py
@@ -1,8 +1,9 @@
-"""Pools: resources that share targets, directly or over others, are one pool.
+"""Groups resources into pools: resources that share targets belong to one pool.
 
-Within a pool a customer has one account, whatever models it asks for: two
-customers that can both wait for the same target are always in one pool, so the
-gap between them is defined.
+Resources also belong to one pool if they are connected over other resources. A
+customer has one account for each pool, whichever models it requests. Two customers
+that can both wait for the same target are always in one pool, so the service gap
+between them is defined.
 """
 
 from collections.abc import Iterable, Mapping
@@ -14,7 +15,7 @@
     """Return the pool of each resource that some target serves.
 
     Args:
-        targets: All targets that may get work.
+        targets: All targets that may receive requests.
 
     Returns:
         Pool names by resource; a pool has the name of its first resource.
--- a/sesameford/remote_reports.py
+++ b/sesameford/remote_reports.py
@@ -1,4 +1,4 @@
-"""Reports of an allocator to those of the other data centres."""
+"""Reports of an allocator to the allocators of the other data centres."""
 
 from collections.abc import Collection
 
@@ -6,7 +6,7 @@
 from sesameford.links import (
     COALESCE_SECONDS,
     HEARTBEAT_SECONDS,
-    JOINED_FRACTION,
+    JOINED_HEARTBEAT_FRACTION,
     Demand,
     DemandKey,
     pool_reports,
@@ -20,23 +20,23 @@
 )
 
 SERVED_THRESHOLD_QUANTA = 1.0
-_DEMANDS_REPORTED = 32
-_WANTED_CHANGE_REPORTED = 0.25
-_COMPARE_SECONDS = 2.5
+_MAX_DEMAND_ROWS = 32
+_LIMIT_DEMAND_CHANGE_FRACTION = 0.25
+_COMPARISON_INTERVAL_SECONDS = 2.5
 _EXACT_REQUESTS = 2
-_COMPARE_APART_SECONDS = 1.0
-_APART_SECONDS = 8.0
+_COMPARISON_INTERVAL_AFTER_CUT_SECONDS = 1.0
+_AFTER_CUT_SECONDS = 8.0
 
 
-def place_reports(
+def collect_remote_reports(
     state: AllocatorState, joined: Collection[str], now_seconds: float
 ) -> list[Outgoing]:
     """Return the reports that are due.
 
     Args:
         state: The allocator's tables.
-        joined: Receivers that get a message now anyway: a report that is due soon
-            joins it, because most of a small message's bytes are its headers.
+        joined: Receivers that are sent a message now anyway. A report that is due
+            soon is sent with it, because most bytes of a small message are headers.
         now_seconds: The present time.
 
     Returns:
@@ -44,40 +44,41 @@
     """
     messages = []
     demands: dict[DemandKey, Demand] | None = None
-    for name in sorted(state.places):
-        place = state.places[name]
-        if now_seconds - place.link.sent_at_seconds < COALESCE_SECONDS:
+    for name in sorted(state.remote_allocators):
+        remote = state.remote_allocators[name]
+        if now_seconds - remote.link.sent_at_seconds < COALESCE_SECONDS:
             continue
         if demands is None:
-            demands = _demands(state)
+            demands = _merge_demands(state)
         heartbeat = HEARTBEAT_SECONDS
-        if place.link.receiver_id in joined:
-            heartbeat *= JOINED_FRACTION
-        report = _report(state, name, place, demands, heartbeat, now_seconds)
+        if remote.link.receiver_id in joined:
+            heartbeat *= JOINED_HEARTBEAT_FRACTION
+        report = _make_report(state, name, remote, demands, heartbeat, now_seconds)
         if report is not None:
-            messages.append(Outgoing(place.link.receiver_id, report, urgent=True))
+            messages.append(Outgoing(remote.link.receiver_id, report, urgent=True))
     return messages
 
 
-def _report(
+def _make_report(
     state: AllocatorState,
     name: str,
-    place: RemoteAllocator,
+    remote: RemoteAllocator,
     demands: dict[DemandKey, Demand],
     heartbeat_seconds: float,
     now_seconds: float,
 ) -> ShareReport | None:
     """Return the report to one data centre, or None while none is due."""
-    link = place.link
+    link = remote.link
     since = now_seconds - link.sent_at_seconds
-    kept = {
+    held_slots = {
         target_id: slots
-        for target_id, slots in state.held().items()
+        for target_id, slots in state.granted_slots().items()
         if state.owner_of.get(target_id) == name
     }
-    # Whoever took the other side of a cut for lost lent out its targets. Those are the
-    # other side's own again, and a slot that each counts as the other's serves nobody.
-    link.give_back(
+    # During a network cut, one side may have lent out targets of the other. After the
+    # cut the other side owns them again. A slot that each side counts as held by the
+    # other would stay unused.
+    link.return_slots(
         target_id
         for target_id, slots in link.holdings.items()
         if slots and state.owner_of.get(target_id) != name
@@ -86,23 +87,24 @@
         since >= heartbeat_seconds
         or link.full_due
         or link.is_lease_near_expiry(now_seconds)
-        or link.has_slots_to_return(kept)
-        or _could_help(place, demands)
+        or link.has_slots_to_return(held_slots)
+        or _may_need_remote_slots(remote, demands)
     )
     if not due:
         return None
     full = link.full_due
     threshold = SERVED_THRESHOLD_QUANTA * state.quantum()
-    if _compares(place, now_seconds):
-        # What is compared must hold all service that either side knows of, or each
-        # comparison would take back half of what is still to be reported.
+    if _is_comparison_due(remote, now_seconds):
+        # The compared virtual times must contain all service that either side has
+        # counted. Otherwise each comparison would cancel half of the service that is
+        # not yet reported.
         threshold = 0.0
     pools = pool_reports(
         link.served_rows(state.totals.totals_by_account(), threshold),
         link.demand_rows(demands, _EXACT_REQUESTS, now_seconds),
     )
-    rows = _with_pool_rows(state, place, pools, full, now_seconds)
-    holdings = tuple(link.holding_rows(kept))
+    rows = _add_pool_rows(state, remote, pools, full, now_seconds)
+    holdings = tuple(link.holding_rows(held_slots))
     link.full_due = False
     return ShareReport(
         link.term,
@@ -113,56 +115,58 @@
         link.requests_full,
         rows,
         holdings,
-        _remote_limit_demand_rows(state, place, full),
+        _remote_limit_demand_rows(state, remote, full),
     )
 
 
-def _could_help(place: RemoteAllocator, demands: dict[DemandKey, Demand]) -> bool:
-    """Return whether new work waits here while the other place may have slots idle.
+def _may_need_remote_slots(
+    remote: RemoteAllocator, demands: dict[DemandKey, Demand]
+) -> bool:
+    """Return whether new work waits here while the other data centre may be idle.
 
-    Where work waits there too, nothing idles and the next report is soon enough.
+    If work waits there too, no slot is idle and the next regular report suffices.
     """
     for key in demands:
-        if key not in place.link.reported_demands:
-            news = place.news.get(key[0])
-            if news is None or not news.contended:
+        if key not in remote.link.reported_demands:
+            update = remote.pool_updates.get(key[0])
+            if update is None or not update.contended:
                 return True
     return False
 
 
-def _demands(state: AllocatorState) -> dict[DemandKey, Demand]:
-    """Return the waiting work of this data centre that comes first."""
+def _merge_demands(state: AllocatorState) -> dict[DemandKey, Demand]:
+    """Return this data centre's waiting work with the lowest virtual times."""
     merged: dict[DemandKey, Demand] = {}
     for link in state.routers():
         for key, demand in link.demands.items():
-            known = merged.get(key)
-            if known is None:
+            entry = merged.get(key)
+            if entry is None:
                 merged[key] = demand
                 continue
             merged[key] = Demand(
-                known.requests + demand.requests,
-                known.cost_units + demand.cost_units,
-                min(known.since_seconds, demand.since_seconds),
+                entry.requests + demand.requests,
+                entry.cost_units + demand.cost_units,
+                min(entry.since_seconds, demand.since_seconds),
             )
-    if len(merged) <= _DEMANDS_REPORTED:
+    if len(merged) <= _MAX_DEMAND_ROWS:
         return merged
     order = sorted(
         merged, key=lambda key: state.pool(key[0]).times.virtual_time(key[1])
     )
-    return {key: merged[key] for key in order[:_DEMANDS_REPORTED]}
+    return {key: merged[key] for key in order[:_MAX_DEMAND_ROWS]}
 
 
-def _with_pool_rows(
+def _add_pool_rows(
     state: AllocatorState,
-    place: RemoteAllocator,
+    remote: RemoteAllocator,
     pools: dict[str, PoolReport],
     full: bool,
     now_seconds: float,
 ) -> tuple[PoolReport, ...]:
-    """Add the slots at hand and, when due, virtual times."""
-    compares = _compares(place, now_seconds)
+    """Add the number of local slots and, if due, virtual times."""
+    compares = _is_comparison_due(remote, now_seconds)
     if full or compares:
-        place.reported_times_at_seconds = now_seconds
+        remote.reported_times_at_seconds = now_seconds
     for pool, pool_state in state.pools.items():
         virtual_times: tuple[VirtualTimeRow, ...] = ()
         if full or compares:
@@ -173,45 +177,50 @@
                 VirtualTimeRow(
                     customer,
                     round(pool_state.times.virtual_time(customer), 1),
-                    state.origins.total(place.link.receiver_id, (pool, customer)),
+                    state.origins.total(remote.link.receiver_id, (pool, customer)),
                 )
                 for customer in customers
             )
-        known = pools.get(pool)
-        slots = _slots_at_hand(state, pool, now_seconds)
-        if known or virtual_times or slots != place.reported_slots.get(pool):
-            place.reported_slots[pool] = slots
-            known = known or PoolReport(pool)
+        entry = pools.get(pool)
+        slots = _local_slots(state, pool, now_seconds)
+        if entry or virtual_times or slots != remote.reported_slots.get(pool):
+            remote.reported_slots[pool] = slots
+            entry = entry or PoolReport(pool)
             pools[pool] = PoolReport(
-                pool, known.served, known.demands, slots, virtual_times
+                pool, entry.served, entry.demands, slots, virtual_times
             )
     return tuple(pools[pool] for pool in sorted(pools))
 
 
-def _compares(place: RemoteAllocator, now_seconds: float) -> bool:
+def _is_comparison_due(remote: RemoteAllocator, now_seconds: float) -> bool:
     """Return whether virtual times are due.
 
-    After a cut the two sides' virtual times are far apart, and slots go to and fro
-    between them until they agree who is behind.
+    After a network cut the virtual times of the two sides differ widely, and slots
+    move back and forth until both agree which customer is behind. Comparisons are
+    therefore more frequent for some seconds.
     """
-    apart = now_seconds - place.link.regained_at_seconds < _APART_SECONDS
-    interval = _COMPARE_APART_SECONDS if apart else _COMPARE_SECONDS
-    return now_seconds - place.reported_times_at_seconds >= interval
+    apart = now_seconds - remote.link.lease_regained_at_seconds < _AFTER_CUT_SECONDS
+    interval = (
+        _COMPARISON_INTERVAL_AFTER_CUT_SECONDS
+        if apart
+        else _COMPARISON_INTERVAL_SECONDS
+    )
+    return now_seconds - remote.reported_times_at_seconds >= interval
 
 
 def _waiting_customers(state: AllocatorState, pool: str) -> list[str]:
-    """Return some of the customers that wait for a pool here."""
+    """Return up to ``_MAX_DEMAND_ROWS`` customers with work for a pool here."""
     customers = {
         key[1] for link in state.routers() for key in link.demands if key[0] == pool
     }
-    return sorted(customers)[:_DEMANDS_REPORTED]
+    return sorted(customers)[:_MAX_DEMAND_ROWS]
 
 
-def _slots_at_hand(state: AllocatorState, pool: str, now_seconds: float) -> int:
+def _local_slots(state: AllocatorState, pool: str, now_seconds: float) -> int:
     """Return how many slots of a pool serve this data centre's work.
 
-    Slots on their way between routers count: they will serve here. Left out,
-    every allocator would see the others poorer than they are and lend in turns.
+    Slots in transit between routers count, because they will serve here. Without
+    them every allocator would underestimate the others and all would lend in turns.
     """
     slots = sum(
         state.capacity(target_id, now_seconds)
@@ -219,43 +228,43 @@
         if state.pool_of_target(target_id) == pool
     )
     lent = sum(
-        link.allowed(target_id)
+        link.slots_after_recalls(target_id)
         for link in state.links.values()
         for target_id in link.holdings
-        if link.is_place and state.pool_of_target(target_id) == pool
+        if link.is_remote_allocator and state.pool_of_target(target_id) == pool
     )
     return max(slots - lent, 0)
 
 
 def _remote_limit_demand_rows(
-    state: AllocatorState, place: RemoteAllocator, full: bool
+    state: AllocatorState, remote: RemoteAllocator, full: bool
 ) -> tuple[LimitDemandRow, ...]:
-    """Return the limited customers' demand here that changed much."""
+    """Return the changed demand of customers with limits in this data centre."""
     total: dict[str, float] = {}
     for link in state.routers():
-        for customer, rate in link.wanted.items():
+        for customer, rate in link.limit_demands.items():
             total[customer] = total.get(customer, 0.0) + rate
-    return limit_demand_rows(total, place.reported_wanted, full)
+    return limit_demand_rows(total, remote.reported_limit_demands, full)
 
 
 def limit_demand_rows(
     rates: dict[str, float], reported: dict[str, float], full: bool
 ) -> tuple[LimitDemandRow, ...]:
-    """Return the demands that changed much, and note them as reported.
+    """Return the demands that changed by a quarter, and record them as reported.
 
     Args:
         rates: Requests per second by customer.
-        reported: What the receiver knows.
-        full: Whether it is to be sent all.
+        reported: Rates last reported to the receiver, by customer; updated.
+        full: Whether to return all demands.
 
     Returns:
         Rows for a report.
     """
     rows = []
     for customer, rate in sorted(rates.items()):
-        known = reported.get(customer)
-        change = _WANTED_CHANGE_REPORTED * max(rate, known or 0.0)
-        if full or known is None or abs(rate - known) > change:
+        previous = reported.get(customer)
+        change = _LIMIT_DEMAND_CHANGE_FRACTION * max(rate, previous or 0.0)
+        if full or previous is None or abs(rate - previous) > change:
             reported[customer] = rate
             rows.append(LimitDemandRow(customer, round(rate, 2)))
     return tuple(rows)
--- a/sesameford/slot_messages.py
+++ b/sesameford/slot_messages.py
@@ -1,17 +1,17 @@
-"""Messages of customers' service on leased slots: reports, grants, limits."""
+"""Messages between routers and allocators: service reports, slot grants, limits."""
 
 from msgspec import Struct
 
 
 class ServedRow(Struct, frozen=True, array_like=True):
-    """A customer's service through the sender, counted since the term began."""
+    """A customer's service through the sender, counted since the term started."""
 
     customer_id: str
     served_cost_units: float
 
 
 class DemandRow(Struct, frozen=True, array_like=True):
-    """What waits at the sender for one customer and resource; zeros end it."""
+    """A customer's waiting work for one resource at the sender; zeros end the entry."""
 
     customer_id: str
     resource: str
@@ -21,7 +21,7 @@
 
 
 class HoldingRow(Struct, frozen=True, array_like=True):
-    """How many slots of a target the sender keeps and how many of them run."""
+    """The slots of a target that the sender keeps, and how many are in use."""
 
     target_id: str
     slots: int
@@ -29,7 +29,7 @@
 
 
 class VirtualTimeRow(Struct, frozen=True, array_like=True):
-    """A customer's virtual time, and what of the receiver's service is in it."""
+    """A customer's virtual time, and the receiver's service counted in it."""
 
     customer_id: str
     virtual_time: float
@@ -37,11 +37,12 @@
 
 
 class PoolReport(Struct, frozen=True, array_like=True):
-    """Rows of one pool that changed; a pool is resources that share targets.
+    """Changed rows of one pool; a pool is a group of resources that share targets.
 
-    ``slots`` is what another data centre's routers may use, borrowed included.
-    ``virtual_times`` are the sending allocator's, told whole to one that starts and
-    for those that wait now and then, so that copies stay together.
+    ``slots`` is the number of slots that the sending data centre's routers may use,
+    including borrowed ones. ``virtual_times`` are those of the sending allocator. A
+    full report contains all of them; other reports contain those of waiting
+    customers periodically, so that the allocators' copies stay close.
     """
 
     pool: str
@@ -52,14 +53,14 @@
 
 
 class LimitDemandRow(Struct, frozen=True, array_like=True):
-    """How fast requests of a customer with limits enter, for splitting them."""
+    """The request rate of a customer with limits, used to split the limits."""
 
     customer_id: str
     requests_per_second: float
 
 
 class CompletionTotalsRow(Struct, frozen=True, array_like=True):
-    """Completions on a target since the term began, for its window."""
+    """Completions on a target since the term started, for adapting its window."""
 
     target_id: str
     completions: int
@@ -68,12 +69,12 @@
 
 
 class ShareReport(Struct, frozen=True, array_like=True, tag="Share"):
-    """What a router tells its allocator, and an allocator those of other places.
+    """A report of a router to its allocator, or of an allocator to a remote one.
 
-    ``term`` grows whenever the sender starts anew with this receiver;
-    ``sequence`` counts within it. ``full`` says that rows left out are zero.
-    ``acknowledged_grants`` is the last ``SlotGrants`` applied without a gap.
-    ``data_centre`` is set by an allocator that reports for its whole place.
+    ``term`` increases whenever the sender opens a new link to this receiver;
+    ``sequence`` counts within the term. ``full`` marks omitted rows as zero.
+    ``acknowledged_grants`` is the sequence of the last applied ``SlotGrants``.
+    ``data_centre`` is set by an allocator that reports for its whole data centre.
     """
 
     term: int
@@ -84,14 +85,15 @@
     requests_full: bool = False
     pools: tuple[PoolReport, ...] = ()
     holdings: tuple[HoldingRow, ...] = ()
-    wanted: tuple[LimitDemandRow, ...] = ()
-    paces: tuple[CompletionTotalsRow, ...] = ()
+    limit_demands: tuple[LimitDemandRow, ...] = ()
+    completion_totals: tuple[CompletionTotalsRow, ...] = ()
 
 
 class GrantRow(Struct, frozen=True, array_like=True):
-    """The receiver may run this many requests at once on a target.
+    """How many requests the receiver may run at once on a target.
 
-    In a recall: at most this many, and fewer if it gave up some since.
+    In a recall this is an upper limit; slots that the receiver returned since then
+    lower it.
     """
 
     target_id: str
@@ -115,10 +117,10 @@
 
 
 class SlotGrants(Struct, frozen=True, array_like=True, tag="Slots"):
-    """An allocator's answer to a report: renewal, grants and news.
+    """An allocator's answer to a report: lease renewal, grants and pool updates.
 
-    The receiver's lease on all that it holds runs from when it sent the report
-    ``acknowledged_report``, so that neither delay nor one-way loss can stretch it.
+    The receiver's lease on all its slots starts when it sent the report
+    ``acknowledged_report``, so that neither delay nor one-way loss extends it.
     """
 
     term: int
--- a/sesameford/windows.py
+++ b/sesameford/windows.py
@@ -1,24 +1,24 @@
-"""Windows: how many requests a target is given at once, adapted from completions.
+"""Windows: how many requests a target runs at once, adapted from completions.
 
-A target admits what comes and knows no priorities, so what it can't serve at once
-must wait in the routers, where the order is fair. Its announced slots are the
-start. Where requests take much longer per cost unit than they did at best, the
-target queues inside: it serves less than it says, or two sides of a split fill it.
-Its load reports lag and would say so too late; completions say it at once.
+A target admits every request and has no priorities, so requests that it can't serve
+at once must wait in the routers, where the order is fair. The window starts with the
+announced slots. If requests take much longer per cost unit than in the best case, the
+target queues requests internally: it serves less than it announces, or both sides of
+a network split fill it. Its load reports show this too late, completions at once.
 """
 
 from dataclasses import dataclass, replace
 
 _SLOW_RATIO = 2.0
-_GOOD_RATIO = 1.5
+_FAST_RATIO = 1.5
 _SHRINK_FACTOR = 0.85
-_LEAST_FRACTION = 0.5
-_BEST_DRIFT = 1.02
+_MIN_SLOTS_FRACTION = 0.5
+_BEST_DRIFT_FACTOR = 1.02
 _COMPLETIONS_PER_SLOT = 1.0
-_LEAST_COMPLETIONS = 8
-# Completions of large requests are rare, and told together. What was slow while two
-# sides of a split filled a target says nothing of it so long after.
-_STALE_SECONDS = 4.0
+_MIN_COMPLETIONS = 8
+# Completions of large requests are rare and reported in batches. After this time,
+# slow completions from a network split no longer describe the target.
+_REGROW_INTERVAL_SECONDS = 4.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,10 +48,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """A target's window and what it was adapted from.
+    """A target's window and the completions since it was last adapted.
 
-    ``best_seconds_per_unit`` drifts up slowly, so that a target that became
-    slower for good is not kept small for ever.
+    ``best_seconds_per_unit`` increases slowly, so that the window of a target that
+    became permanently slower does not stay small forever.
     """
 
     slots: int
@@ -62,15 +62,15 @@
 
 
 def make_window(announced_slots: int) -> Window:
-    """Return the window of a target that nothing is known of."""
+    """Return the initial window of a target."""
     return Window(announced_slots, announced_slots)
 
 
 def adapt_window(window: Window, added: CompletionTotals, now_seconds: float) -> Window:
-    """Take completions and return the window to use from now on.
+    """Return the window adapted to new completions.
 
     Args:
-        window: The window so far.
+        window: The previous window.
         added: Completions since the last call.
         now_seconds: The present time.
 
@@ -78,32 +78,39 @@
         A window between half of the announced slots and all of them.
     """
     since = window.since.plus(added)
-    enough = max(_LEAST_COMPLETIONS, _COMPLETIONS_PER_SLOT * window.slots)
-    if since.completions < enough or since.cost_units <= 0.0:
+    min_completions = max(_MIN_COMPLETIONS, _COMPLETIONS_PER_SLOT * window.slots)
+    if since.completions < min_completions or since.cost_units <= 0.0:
         return replace(window, since=since)
-    pace = since.busy_seconds / since.cost_units
+    seconds_per_cost_unit = since.busy_seconds / since.cost_units
     best = window.best_seconds_per_unit
-    best = pace if best is None else min(best * _BEST_DRIFT, pace)
+    best = (
+        seconds_per_cost_unit
+        if best is None
+        else min(best * _BEST_DRIFT_FACTOR, seconds_per_cost_unit)
+    )
     slots = window.slots
-    least = max(1, round(window.announced_slots * _LEAST_FRACTION))
-    if pace > _SLOW_RATIO * best:
-        slots = max(least, int(slots * _SHRINK_FACTOR))
-    elif pace < _GOOD_RATIO * best:
+    min_slots = max(1, round(window.announced_slots * _MIN_SLOTS_FRACTION))
+    if seconds_per_cost_unit > _SLOW_RATIO * best:
+        slots = max(min_slots, int(slots * _SHRINK_FACTOR))
+    elif seconds_per_cost_unit < _FAST_RATIO * best:
         slots = min(window.announced_slots, slots + 1)
     return Window(slots, window.announced_slots, best, CompletionTotals(), now_seconds)
 
 
 def regrow_window(window: Window, now_seconds: float) -> Window:
-    """Return the window with a slot more where too few completions tell of it.
+    """Return the window with one more slot if it was not adapted for some time.
 
-    A target whose requests are long, or to which little is sent since it was slow,
-    would stay small while customers wait.
+    Without this, the window of a target with long or few requests would stay small
+    while customers wait.
 
     Args:
-        window: The window so far.
+        window: The previous window.
         now_seconds: The present time.
     """
     is_small = window.slots < window.announced_slots
-    if not is_small or now_seconds - window.adapted_at_seconds < _STALE_SECONDS:
+    if (
+        not is_small
+        or now_seconds - window.adapted_at_seconds < _REGROW_INTERVAL_SECONDS
+    ):
         return window
     return replace(window, slots=window.slots + 1, adapted_at_seconds=now_seconds)
--- a/tests/test_allocation.py
+++ b/tests/test_allocation.py
@@ -1,4 +1,4 @@
-"""Levels are what pouring by hand gives; moves bring them together."""
+"""Water levels match a direct computation, and moves bring levels together."""
 
 from math import inf
 
@@ -14,7 +14,7 @@
     water_level,
 )
 
-VESSELS = st.lists(
+BACKLOGS = st.lists(
     st.tuples(
         st.floats(0.0, 100.0), st.floats(0.5, 50.0), st.sampled_from([0.5, 1.0, 3.0])
     ),
@@ -24,33 +24,33 @@
 
 
 @settings(derandomize=True, max_examples=200)
-@given(VESSELS, st.floats(0.0, 200.0))
-def test_the_level_holds_what_was_poured(rows, cost_units):
-    vessels = sorted(
+@given(BACKLOGS, st.floats(0.0, 200.0))
+def test_service_below_the_level_equals_the_given_service(rows, cost_units):
+    backlogs = sorted(
         (CustomerBacklog(str(index), *row) for index, row in enumerate(rows)),
-        key=lambda vessel: vessel.virtual_time,
+        key=lambda backlog: backlog.virtual_time,
     )
-    level = water_level(vessels, cost_units)
-    room = sum(vessel.waiting_cost_units for vessel in vessels)
+    level = water_level(backlogs, cost_units)
+    waiting = sum(backlog.waiting_cost_units for backlog in backlogs)
     if level == inf:
-        assert cost_units >= room - 1e-6
+        assert cost_units >= waiting - 1e-6
         return
-    held = sum(
+    served = sum(
         min(
-            max(level - vessel.virtual_time, 0.0) * vessel.share,
-            vessel.waiting_cost_units,
+            max(level - backlog.virtual_time, 0.0) * backlog.share,
+            backlog.waiting_cost_units,
         )
-        for vessel in vessels
+        for backlog in backlogs
     )
-    assert held == pytest.approx(cost_units, abs=1e-6)
+    assert served == pytest.approx(cost_units, abs=1e-6)
 
 
 def test_moves_stop_before_the_holder_behind_gets_ahead():
     horizon = Horizon(100.0, 0.0, 0.1)
     ahead = Holder("a", "m", [CustomerBacklog("x", 1000.0, 1e6, 1.0)], 10, 50)
     behind = Holder("b", "m", [CustomerBacklog("y", 0.0, 1e6, 1.0)], 10, 50)
-    ahead.pour(horizon)
-    behind.pour(horizon)
+    ahead.update_level(horizon)
+    behind.update_level(horizon)
     moves = find_moves([ahead, behind], 0, horizon, 100.0, lambda one, other: True)
     assert {move.to_holder_id for move in moves} == {"b"}
     assert 3 <= len(moves) <= 6
