--- a/tests/test_fair_fleet_machine.py
+++ b/tests/test_fair_fleet_machine.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of the deciding code against an oracle of the true service."""
+"""Fuzzes the leased scheduler and allocators against an oracle of the true service."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -40,7 +40,7 @@
 
 
 class FairFleet(RuleBasedStateMachine):
-    """Arrivals, faults and time; the oracle knows who was really served."""
+    """Mixes arrivals, faults and time; an oracle records the true service."""
 
     @initialize(seed=st.integers(0, 1000))
     def start(self, seed):
@@ -87,7 +87,7 @@
 
     @rule(backlog=st.integers(100, 400), router=st.sampled_from(sorted(ROUTERS)))
     def backlog_and_time(self, backlog, router):
-        """Two customers wait for long, one through a single router."""
+        """Two customers have long backlogs, one through a single router."""
         for number in range(backlog):
             cost = LARGEST_COST_UNITS * (1 + number % 7) / 7.0
             self.fleet.submit(router, "big", cost, cost)
@@ -118,7 +118,7 @@
         self.fault_at = self.fleet.now_seconds
 
     def watch(self, fleet):
-        """Watch each step of time."""
+        """Record gaps, progress and idle slots after each step of time."""
         now = fleet.now_seconds
         waiting = fleet.backlogged()
         clean = fleet.network.loss == 0.0
@@ -160,7 +160,7 @@
 
     @invariant()
     def targets_are_not_overfilled(self):
-        """Whole: never. Split: each side may fill a target once."""
+        """Each side of a split may fill a target once; a whole network never does."""
         for target_id in self.fleet.targets:
             running = self.fleet.running(target_id)
             sides = 1 if self.settled else 1 + len(ROUTERS)
@@ -168,7 +168,7 @@
 
     @invariant()
     def limits_hold(self):
-        """Shares round up: one more for each router of entry."""
+        """Fractions of limits round up, which allows one more request per router."""
         running = sum(
             scheduler._state.limits._running.get("capped", 0)
             for scheduler in self.fleet.routers.values()
--- a/tests/test_known_seeds.py
+++ b/tests/test_known_seeds.py
@@ -1,6 +1,6 @@
-"""Cases that the fuzzing drew and that showed a fault; each stays, step by step.
+"""Replays cases in which the fuzzing found a fault.
 
-What a seed draws depends on all modules that are loaded, so the steps are kept.
+The steps are stored, because what a seed draws depends on all loaded modules.
 """
 
 from pathlib import Path
@@ -16,16 +16,16 @@
 @pytest.mark.parametrize(
     "case",
     [
-        # Both sides of a cut fill a target, which then gets fewer requests than it
-        # has slots for, while customers wait.
+        # Both sides of a network cut fill a target, which afterwards receives fewer
+        # requests than it has slots while customers wait.
         "slow-window",
-        # A slot that is lent to its target's own allocator serves nobody; later a late
-        # message to a process that ended makes two allocators deal out the same slots.
+        # A slot lent to the allocator that owns its target stays unused. Later a late
+        # message to an ended process makes two allocators grant the same slots.
         "restarted-allocator",
     ],
 )
 def test_all_rules_hold_under_the_steps_that_broke_them(case):
-    """Customers wait beside idle slots, or targets get twice their slots."""
+    """Guards against idle slots while work waits and against overfilled targets."""
     fleet = FairFleet()
     for line in (CASES / f"{case}.jsonl").read_text().splitlines():
         values = decode(line)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,14 +1,15 @@
-"""The links on which slots are reported and granted."""
+"""Links between holders of slots and allocators."""
 
 from sesameford.links import ReportLink
 from sesameford.slot_messages import GrantRow, SlotGrants
 
 
-def test_an_answer_to_the_process_before_hides_no_later_one():
-    """A router restarts, and a late answer to the process before reaches it first.
+def test_late_answer_to_previous_process_is_ignored():
+    """A router restarts and first receives a late answer to its previous process.
 
-    It has a high number. Taken for the newest it hid all answers to the new process,
-    which found its allocator silent and dealt out the same slots beside it.
+    The answer has a high sequence. When it counted as the newest, all answers to the
+    new process were ignored. The process then considered its allocator silent and
+    granted the same slots a second time.
     """
     link = ReportLink("allocator", 1, 0.0)
     report = link.record_sent_report(0.0)
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -1,4 +1,4 @@
-"""A window follows completions: smaller where a target queues, then back again."""
+"""Windows shrink when a target queues requests internally, and grow back."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -15,16 +15,16 @@
 
 def run_rounds(window, rounds, seconds_per_unit):
     for _ in range(rounds):
-        pace = CompletionTotals(20, 2000.0, 2000.0 * seconds_per_unit)
-        window = adapt_window(window, pace, NOW_SECONDS)
+        added = CompletionTotals(20, 2000.0, 2000.0 * seconds_per_unit)
+        window = adapt_window(window, added, NOW_SECONDS)
     return window
 
 
-def test_a_target_that_queues_inside_gets_less_and_then_all_again():
-    """A target says it runs 16 at once, but a neighbour takes half of its memory.
+def test_window_shrinks_while_target_queues_internally_and_recovers():
+    """A target announces 16 slots, but another process uses half of its memory.
 
-    Its requests take three times as long, and a caller that comes next waits inside
-    the target, where nobody can put it in a fair order.
+    Its requests take three times as long. Further requests would wait inside the
+    target, where no scheduler can order them fairly.
     """
     window = run_rounds(make_window(16), 3, 0.01)
     assert window.slots == 16
@@ -41,15 +41,16 @@
 def test_a_window_stays_between_half_and_all_of_the_announced_slots(announced, rounds):
     window = make_window(announced)
     for completions, seconds in rounds:
-        pace = CompletionTotals(completions, 10.0 * completions, seconds * completions)
-        window = adapt_window(window, pace, NOW_SECONDS)
+        added = CompletionTotals(completions, 10.0 * completions, seconds * completions)
+        window = adapt_window(window, added, NOW_SECONDS)
         assert max(1, round(announced / 2)) <= window.slots <= announced
 
 
-def test_a_target_of_long_requests_gets_all_again_without_completions():
-    """A target is slow while two sides of a split fill it, and then completes little.
+def test_window_regrows_without_completions():
+    """A target is slow while both sides of a network split fill it.
 
-    Its window grew by completions alone, so it stood idle while customers waited.
+    Afterwards it completes few requests. When only completions enlarged the window,
+    its slots stayed idle while customers waited.
     """
     slowed = run_rounds(run_rounds(make_window(3), 3, 0.01), 3, 0.03)
     assert slowed.slots == 2
