--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -42,7 +42,7 @@
     counted = 0.0
     order = [reports[index % len(reports)] for index in deliveries]
     for report in [*order, reports[-1], *order]:
-        if link.accept(report, 0.0):
+        if link.accept_report(report, 0.0):
             served = report.pools[0].served[0]
             counted += totals.merge_total("r", ACCOUNT, served.served_cost_units)
     assert abs(counted - total) < 1e-6
