--- a/sesameford/gateway/call_log.py
+++ b/sesameford/gateway/call_log.py
@@ -4,7 +4,7 @@
 
 from sesameford.gateway.call_context import CallContext, GatewayDeps, Refusal
 from sesameford.gateway.calls import Call
-from sesameford.gateway.forward import SendingError
+from sesameford.gateway.forward import SendAttemptError
 from sesameford.gateway.target_record import Reservation
 
 logger = logging.getLogger(__name__)
@@ -27,7 +27,7 @@
             "route": run.route.route_id if run else refusal.route_id,
             "customer": run.customer if run else refusal.customer,
             "detail": refusal.detail,
-            "sendings": run.sendings if run else 0,
+            "sendings": run.send_attempts if run else 0,
             "revision": state.tree.revision if state else 0,
             "after_seconds": round(deps.now() - arrived_at_seconds, 3),
         },
@@ -35,7 +35,7 @@
 
 
 def log_failure(
-    deps: GatewayDeps, run: CallContext, lease: Reservation, error: SendingError
+    deps: GatewayDeps, run: CallContext, lease: Reservation, error: SendAttemptError
 ) -> None:
     logger.warning(
         "sending failed",
@@ -43,22 +43,22 @@
             "request": run.call.request_id,
             "target": lease.target_id,
             "address": lease.address,
-            "fate": error.fate.value,
+            "fate": error.outcome.value,
             "detail": error.detail,
-            "sendings": run.sendings,
+            "sendings": run.send_attempts,
         },
     )
 
 
 def log_end(deps: GatewayDeps, run: CallContext, outcome: str, detail: str) -> None:
     took_seconds = deps.now() - run.arrived_at_seconds
-    deps.tally.record_relayed_call(
+    deps.metrics.record_relayed_call(
         outcome, run.route.route_id, run.status, took_seconds, run.first_event_seconds
     )
     if run.route.is_stream and run.first_event_seconds is not None:
-        deps.tally.record_pause(run.route.route_id, run.longest_pause_seconds)
+        deps.metrics.record_pause(run.route.route_id, run.longest_pause_seconds)
     first = run.first_event_seconds
-    lease = run.lease
+    lease = run.reservation
     # The line of a call that failed is among the last to be left out.
     level = logging.WARNING if outcome == "cut" else logging.INFO
     logger.log(
@@ -69,7 +69,7 @@
             "route": run.route.route_id,
             "customer": run.customer or "",
             "targets": ",".join(run.tried),
-            "sendings": run.sendings,
+            "sendings": run.send_attempts,
             "status": run.status,
             "detail": detail,
             "took_seconds": round(took_seconds, 3),
