--- a/tests/gateway_fixture.py
+++ b/tests/gateway_fixture.py
@@ -1,4 +1,4 @@
-"""A router in this process before servers that misbehave, and a client of it."""
+"""A router in this process with faulty servers, and a client of it."""
 
 from asyncio import get_running_loop
 from contextlib import asynccontextmanager
@@ -103,10 +103,10 @@
         table.handle_heartbeat(row, monotonic())
     state = make_gateway_state(tree or effective_tree(parse_tree(TREE, "t"), 1))
     targets = make_session(None, 3.0)
-    edge = make_wire_adapter()
+    adapter = make_wire_adapter()
     deps = GatewayDeps(
-        edge,
-        make_sender(targets, edge),
+        adapter,
+        make_sender(targets, adapter),
         make_placement(table, "a", 1000.0, Random(1)),
         make_share_gate(Random(1)),
         make_second_sends(RetryBudgetSettings()),
--- a/tests/test_aggregator_choice.py
+++ b/tests/test_aggregator_choice.py
@@ -1,4 +1,4 @@
-"""Which replica a router reports its loads to, without a network."""
+"""Choice of the replica that a router reports to, without a network."""
 
 from sesameford.gateway.aggregator_choice import (
     COMMON_REPLICA_SECONDS,
@@ -20,11 +20,11 @@
     assert make_aggregator_choice().choose((), (), SILENT_SECONDS, 1.0) is None
 
 
-def test_a_replica_that_answers_nothing_is_passed_over_before_its_beats_are_missed():
-    """The replica that adds up loses power.
+def test_a_replica_that_answers_nothing_is_excluded_before_its_heartbeats_are_missed():
+    """The aggregator loses power.
 
     Its heartbeats are missed after 1.5 s. Until then routers would choose engines by
-    loads that stand still, and shares would not follow what is asked.
+    outdated loads, and shares would not follow the demand.
     """
     choice = make_aggregator_choice()
     choice.choose(REPLICAS, (), SILENT_SECONDS, 1.0)
@@ -43,8 +43,8 @@
     assert choice.choose(REPLICAS, (), SILENT_SECONDS, 2.3) == "a"
 
 
-def test_one_that_was_passed_over_is_tried_again():
-    """It may have been slow for a moment only; all routers must agree in the end."""
+def test_an_excluded_replica_is_chosen_again_after_a_while():
+    """It may have been slow only briefly, and all routers must agree in the end."""
     choice = make_aggregator_choice()
     choice.choose(REPLICAS, (), SILENT_SECONDS, 1.0)
     now = 1.1 + SILENT_SECONDS
@@ -56,32 +56,32 @@
     assert chosen == "a"
 
 
-def test_a_replica_that_is_alone_gets_reports_however_silent():
+def test_the_only_replica_is_chosen_even_if_it_is_silent():
     choice = make_aggregator_choice()
     assert choice.choose(("a",), (), SILENT_SECONDS, 1.0) == "a"
     assert choice.choose(("a",), (), SILENT_SECONDS, 9.0) == "a"
 
 
-def test_a_replica_that_wakes_is_left_to_hear_all_routers_first():
-    """The replica with the lowest id has stood still for seconds.
+def test_a_replica_that_resumes_is_chosen_only_once_it_knows_all_routers():
+    """The replica with the lowest id stood still for seconds and is live again.
 
-    It is heard again, and knows neither who lives nor what is under way. If all turned
-    to it at once, it would have nothing to send them for a second, while engines fill.
+    It knows neither the live routers nor their loads. If all routers reported to it at
+    once, it could send them no sums for a second, while engines fill up.
     """
     choice = make_aggregator_choice()
     choice.choose(("b", "c"), (), SILENT_SECONDS, 1.0)
     now = 1.0
     while now < 5.0 + 0.9 * NEWLY_LIVE_SECONDS:
         choice.record_answer("b", SUMS, now)
-        heard = REPLICAS if now >= 5.0 else ("b", "c")
-        assert choice.choose(heard, (), SILENT_SECONDS, now) == "b"
+        live = REPLICAS if now >= 5.0 else ("b", "c")
+        assert choice.choose(live, (), SILENT_SECONDS, now) == "b"
         now += 0.1
     now = 5.1 + NEWLY_LIVE_SECONDS
     choice.record_answer("b", SUMS, now)
     assert choice.choose(REPLICAS, (), SILENT_SECONDS, now) == "a"
 
 
-def test_the_only_one_that_answers_gets_reports_however_new():
+def test_the_only_answering_replica_is_chosen_even_if_newly_live():
     choice = make_aggregator_choice()
     choice.choose(("b",), (), SILENT_SECONDS, 1.0)
     assert choice.choose(("a",), (), SILENT_SECONDS, 1.1) == "a"
@@ -92,7 +92,7 @@
 
 
 def reports_to(choice, sums, from_seconds, to_seconds, near=("c",)):
-    """Let the chosen replica answer with sums for a while; return who is chosen."""
+    """Let the chosen replica answer with sums; return the replica chosen at the end."""
     now_seconds, chosen = from_seconds, choice.chosen
     while now_seconds < to_seconds:
         chosen = choice.choose(REPLICAS, near, SILENT_SECONDS, now_seconds)
@@ -104,8 +104,8 @@
 def test_a_router_of_a_large_fleet_reports_in_its_own_data_centre():
     """Two hundred routers in five data centres report to one replica.
 
-    It can read so many messages only if each comes seldom: routers know the load of
-    engines half a second late, and most of the bytes go between data centres.
+    It can read that many reports only if each router reports rarely: routers learn the
+    load of engines half a second late, and most bytes go between data centres.
     """
     choice = make_aggregator_choice()
     assert reports_to(choice, SUMS, 1.0, 2.0) == "a"
@@ -117,7 +117,7 @@
     assert reports_to(choice, LARGE, 1.0, 3.0, near=()) == "a"
 
 
-def test_a_near_replica_that_falls_silent_is_passed_over():
+def test_a_silent_near_replica_is_excluded():
     choice = make_aggregator_choice()
     assert reports_to(choice, LARGE, 1.0, 3.0) == "c"
     choice.choose(REPLICAS, ("c",), SILENT_SECONDS, 3.1)
@@ -125,12 +125,11 @@
     assert choice.choose(REPLICAS, ("c",), SILENT_SECONDS, after) == "a"
 
 
-def test_routers_turn_to_one_replica_while_replicas_are_cut_from_each_other():
-    """The replicas are split in two halves that don't hear each other.
+def test_routers_report_to_one_replica_during_a_partition_of_replicas():
+    """The replicas are partitioned into two halves, and routers reach them all.
 
-    Routers hear them all. No near replica can add up the whole fleet any more, and by
-    the sums of a half a customer whose callers come by few routers gets far less than
-    one whose callers come by all.
+    No near replica can sum the whole fleet, and by the sums of one half a customer that
+    uses few routers gets far less than one that uses all.
     """
     choice = make_aggregator_choice()
     assert reports_to(choice, LARGE, 1.0, 3.0) == "c"
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -1,7 +1,7 @@
-"""What targets get that have just started and take little yet.
+"""Requests to cold targets, without a network.
 
-The pattern: targets come back together, all routers find them idle at the same moment,
-and each knows of the others only what it hears late or not at all.
+The failure: targets come back together and all routers find them idle at the same time,
+while routers' reports on each other arrive late or not at all.
 """
 
 from collections import deque
@@ -26,7 +26,7 @@
 
 RATE = 17.0
 BOUND = ColdBoundSettings(factor=1.5, spare_requests=5.0)
-# What all routers together may send a cold target in any second.
+# The most requests that all routers together may send a cold target in any second.
 MOST_REQUESTS = 30
 ENGINE = ServiceSettings(
     "pool", batch_slots=32, cold_start_seconds=3.0, cold_requests_per_second=RATE
@@ -42,7 +42,7 @@
 
 
 def make_router(*rows, seed=1, evacuated=()):
-    """Return the placement of one router over targets, and its table."""
+    """Return the placement and the table of one router with some targets."""
     table = make_heartbeat_table()
     for one in rows:
         table.handle_heartbeat(one, 0.0)
@@ -62,7 +62,7 @@
 
 
 class Sends:
-    """Requests sent to one target, and the most of them in any second so far."""
+    """Counts requests to one target, and the most of them in any second."""
 
     def __init__(self):
         self.times = deque()
@@ -79,12 +79,11 @@
 @pytest.mark.parametrize("routers", [7, 73, 195])
 @pytest.mark.parametrize("data_centres", [1, 3, 5])
 @pytest.mark.parametrize("cut", [False, True])
-def test_routers_together_don_t_overload_a_cold_target(routers, data_centres, cut):
+def test_routers_together_keep_the_bound_of_a_cold_target(routers, data_centres, cut):
     """A target has just come back, and every router finds it idle.
 
-    Permits are held up on their way by anything up to a second; while data centres are
-    cut off from each other each goes on by itself, and in one of them two replicas
-    give out permits.
+    Permits are delayed by up to a second. During a partition each data centre
+    continues alone, and in one of them two replicas grant permits.
     """
     random = Random(routers)
     replicas = [
@@ -118,7 +117,7 @@
     assert sends.total > 0
 
 
-def test_without_a_replica_nothing_is_sent_to_a_cold_target():
+def test_without_a_permit_nothing_is_sent_to_a_cold_target():
     placement, _ = make_router(row("e0"), row("e1", 1, 3_000))
     assert {choose(placement, step / 10).target_id for step in range(29)} == {"e0"}
     assert {choose(placement, 3.1 + step / 10).target_id for step in range(20)} == {
@@ -127,7 +126,7 @@
     }
 
 
-def test_a_target_that_grows_cold_again_is_cold_at_once():
+def test_a_target_that_reports_to_be_cold_again_is_cold_at_once():
     placement, table = make_router(row("e0"), row("e1"))
     table.handle_heartbeat(row("e1", 2, 2_000), 5.0)
     assert {choose(placement, 5.0 + step / 10).target_id for step in range(19)} == {
@@ -135,8 +134,8 @@
     }
 
 
-def test_targets_that_are_restored_count_as_cold():
-    """They grew cold before their data centre was restored, and beat only later."""
+def test_targets_of_a_restored_data_centre_count_as_cold():
+    """Their heartbeats report that they are cold only after the restoration."""
     placement, _ = make_router(
         row("e0"), row("e1", place="b"), row("e2", place="b"), evacuated=("b",)
     )
@@ -147,11 +146,11 @@
     assert choose(placement, 7.1).target_id != "e0"
 
 
-def test_a_permit_is_for_one_request_and_for_a_short_while():
+def test_a_permit_is_valid_for_one_request_and_a_short_time():
     placement, _ = make_router(row("e1", 1, 9_000))
     placement.candidates.cold.record_permits([COLD], 1.0, 1.1)
-    lease = choose(placement, 1.2)
-    assert (lease.target_id, lease.is_cold) == ("e1", True)
+    reservation = choose(placement, 1.2)
+    assert (reservation.target_id, reservation.is_cold) == ("e1", True)
     assert choose(placement, 1.2) is None
     assert (
         placement.candidates.no_target_reason("pool", frozenset(), 1.2)
@@ -161,22 +160,22 @@
     assert choose(placement, 1.0 + PERMIT_VALID_SECONDS) is None
 
 
-def test_a_replica_that_has_started_again_gives_nothing_out_at_first():
-    """It does not know what it gave out before."""
+def test_a_restarted_replica_grants_nothing_during_the_first_window():
+    """It does not know which permits it granted before."""
     permits = make_cold_permits(BOUND, 3)
     assert not permits.grant({COLD: RATE}, ["r1"], 100.0)
     assert not permits.grant({COLD: RATE}, ["r1"], 100.0 + WINDOW_SECONDS / 2)
     assert permits.grant({COLD: RATE}, ["r1"], 100.1 + WINDOW_SECONDS)
 
 
-def test_what_a_cold_engine_shows_says_nothing_of_its_kind():
+def test_a_cold_engine_does_not_change_the_learned_reading_rate():
     placement, _ = make_router(row("e0"), row("e1", 1, 9_000))
     placement.candidates.cold.record_permits([COLD], 0.9, 1.0)
     for _ in range(9):
-        lease = choose(placement, 1.0)
-        if lease.is_cold:
+        reservation = choose(placement, 1.0)
+        if reservation.is_cold:
             break
     before = placement._record("e0").backlog.rate_tokens
-    placement.record_first_event(lease, 4.0)
-    assert lease.is_cold
+    placement.record_first_event(reservation, 4.0)
+    assert reservation.is_cold
     assert placement._record("e0").backlog.rate_tokens == before
--- a/tests/test_fleet_sums.py
+++ b/tests/test_fleet_sums.py
@@ -1,4 +1,4 @@
-"""What replicas add up and send, and what a router keeps of it, without a network."""
+"""Sums of loads at replicas, and their age at routers, without a network."""
 
 from sesameford.gateway.fleet_sums import (
     PARTIAL_VALID_SECONDS,
@@ -21,26 +21,26 @@
 
 
 def sums_of(others=(), routers=0):
-    """Return a replica's sums; ``others`` and ``routers`` are heard."""
+    """Return a replica's sums; ``others`` are live replicas, ``routers`` a number."""
     live = LiveInstances(lambda *_: others, lambda *_: (), lambda *_: routers)
     return make_fleet_sums(live)
 
 
 def sent(sums, now_seconds):
-    """Return what is sent at a time, by receiver."""
+    """Return the messages sent at a time, by receiver."""
     outgoing = sums.tick(None, BASE_WAIT_SECONDS, now_seconds)
     return {one.receiver_id: one.message for one in outgoing}
 
 
-def added_up(places_by_router, now_seconds=1.0):
-    """Return what each router is sent after all have reported."""
+def added_up(loads_by_router, now_seconds=1.0):
+    """Return the message for each router after all have reported."""
     sums = sums_of()
-    for router_id, places in places_by_router.items():
-        sums.handle_report(router_id, RouterLoad(places), now_seconds)
+    for router_id, loads in loads_by_router.items():
+        sums.handle_report(router_id, RouterLoad(loads), now_seconds)
     return sent(sums, now_seconds)
 
 
-def test_a_router_is_sent_the_work_of_all_others_and_not_its_own():
+def test_a_router_is_sent_the_load_of_all_others_without_its_own():
     answers = added_up(
         {
             "r1": (TargetLoad(1, 5, 700), TargetLoad(2, 1, 0)),
@@ -54,10 +54,10 @@
     assert answers["r1"].routers == answers["r1"].known_routers == 3
 
 
-def test_the_work_of_a_router_that_fell_silent_is_forgotten():
-    """A router is killed with fifty requests under way.
+def test_the_load_of_a_silent_router_is_removed():
+    """A router is killed with fifty running requests.
 
-    Its targets have dropped them; were they still counted, other routers would leave
+    Its targets have dropped them. If they were still counted, other routers would leave
     the targets idle.
     """
     sums = sums_of()
@@ -67,11 +67,11 @@
     assert sent(sums, later)["r1"].target_loads == ()
 
 
-def test_a_router_that_reports_elsewhere_is_counted_here_no_more():
+def test_a_router_that_reports_to_another_replica_is_no_longer_counted():
     """A router turns to another replica, which counts it from then on.
 
-    Counted here too, its customers would seem to ask twice as much as they do, and
-    get half of their share.
+    If it were counted here too, its customers would seem to request twice as much as
+    they do, and would get half of their share.
     """
     sums = sums_of()
     customers = (CustomerRates("a", 9_000),)
@@ -82,10 +82,10 @@
     assert not sums.shares.requested_tokens
 
 
-def test_reports_that_were_held_up_count_once():
-    """A replica stands still for seconds, and a router's reports wait for it.
+def test_reports_that_arrive_together_count_once():
+    """A replica stands still for seconds while a router's reports queue up.
 
-    Added up within one tick, they would look like a flood of all customers.
+    Summed within one tick, they would look like a burst of all customers.
     """
     sums = sums_of()
     for _ in range(60):
@@ -96,8 +96,8 @@
     assert sums.shares.fractions == {}
 
 
-def test_a_router_that_is_sent_nothing_knows_that_it_is_alone():
-    """A cut between a router and all replicas closes no connection."""
+def test_a_router_without_sums_counts_as_isolated():
+    """A partition between a router and all replicas closes no connection."""
     report = make_load_report()
     assert report.is_isolated(0.0)
     report.record_fleet_load(FleetLoad((), 4), 1.0)
@@ -105,11 +105,11 @@
     assert report.is_isolated(1.0 + 1.1 * REPORT_VALID_SECONDS)
 
 
-def test_a_replica_that_wakes_alone_sends_nobody_anything():
-    """A replica stands still until all that it knew of its routers is too old.
+def test_a_replica_that_resumes_without_valid_reports_sends_nothing():
+    """A replica stands still until all its routers' reports have expired.
 
-    It wakes before anybody is heard again. There is nothing to add up, and a system
-    that fails there leaves a line that looks like a fault of the instance.
+    It resumes before a message arrives, so there is nothing to sum. An error there
+    would be logged like a fault of the instance.
     """
     sums = sums_of()
     sums.handle_report("r1", RouterLoad(()), 1.0)
@@ -118,21 +118,21 @@
     assert outgoing == []
 
 
-def test_one_that_all_routers_report_to_sends_other_replicas_nothing():
+def test_the_only_aggregator_sends_other_replicas_nothing():
     sums = sums_of(OTHERS, routers=1)
     sums.handle_report("r1", RouterLoad(()), 1.0)
     assert set(sent(sums, 1.0)) == {"r1"}
 
 
-def test_one_that_misses_routers_says_that_it_adds_up():
-    """A router reports to another replica, and nobody here knows which."""
+def test_an_aggregator_that_lacks_routers_announces_itself():
+    """A router reports to another replica, which is not known here."""
     sums = sums_of(OTHERS, routers=2)
     sums.handle_report("r1", RouterLoad(()), 1.0)
     answers = sent(sums, 1.0)
     assert answers["b"] == answers["c"] == PartialLoad()
 
 
-def test_sums_go_to_who_adds_up_too_and_what_was_used_goes_once():
+def test_sums_go_to_other_aggregators_and_used_parts_only_once():
     sums = sums_of(OTHERS, routers=3)
     used = (UsedParts(7, (), 50),)
     customers = (CustomerRates("a", 9_000, 4_000),)
@@ -140,19 +140,19 @@
     sums.handle_report("r1", load, 1.0)
     sums.handle_report("r2", load, 1.0)
     sums.handle_partial("b", PartialLoad(), 1.0)
-    places, both = (TargetLoad(1, 4, 60),), (CustomerRates("a", 18_000, 8_000),)
-    whole = PartialLoad(2, places, both, 0.25, 12_000.0, (*used, *used))
+    loads, both = (TargetLoad(1, 4, 60),), (CustomerRates("a", 18_000, 8_000),)
+    whole = PartialLoad(2, loads, both, 0.25, 12_000.0, (*used, *used))
     answers = sent(sums, 1.0)
     assert answers["b"] == whole
     assert answers["c"] == PartialLoad()
-    assert sent(sums, 1.5)["b"] == PartialLoad(2, places, both, 0.25, 12_000.0)
+    assert sent(sums, 1.5)["b"] == PartialLoad(2, loads, both, 0.25, 12_000.0)
 
 
-def test_routers_are_sent_what_other_replicas_have_added_up():
+def test_routers_are_sent_the_sums_of_other_replicas():
     """Half of the routers report to another replica.
 
-    Without its sums a customer of this half would be limited by what is asked here
-    alone, and engines that the other half has filled would look idle.
+    Without its sums a customer of this half would be limited by the demand here alone,
+    and engines that the other half has filled would look idle.
     """
     sums = sums_of(OTHERS, routers=3)
     mine = RouterLoad((TargetLoad(1, 2, 30),), (CustomerRates("a", 80_000),))
@@ -170,7 +170,7 @@
     assert 0.1 < share.fraction < 0.13
 
 
-def test_sums_of_a_replica_that_fell_silent_are_dropped():
+def test_sums_of_a_silent_replica_expire():
     sums = sums_of(OTHERS, routers=3)
     sums.handle_partial("b", PartialLoad(2, (TargetLoad(1, 5, 500),)), 1.0)
     later = 1.1 + PARTIAL_VALID_SECONDS
@@ -178,8 +178,8 @@
     assert sent(sums, later)["r1"].target_loads == ()
 
 
-def test_sums_go_no_more_to_a_replica_that_fell_silent():
-    """It only hears that sums are exchanged, and gets them when it says so too."""
+def test_a_silent_replica_is_no_longer_sent_sums():
+    """It gets only announcements, and sums once it announces itself again."""
     sums = sums_of(OTHERS, routers=2)
     sums.handle_partial("b", PartialLoad(), 1.0)
     later = 1.1 + PARTIAL_VALID_SECONDS
@@ -189,11 +189,11 @@
     assert sent(sums, later + 0.3)["b"] == PartialLoad(1, (TargetLoad(1, 2, 30),))
 
 
-def test_what_is_not_exchanged_is_not_kept():
+def test_used_parts_that_are_not_exchanged_are_deleted():
     """All routers report to one replica for days.
 
-    Kept for others who never ask for it, what they sent to engines would fill its
-    memory until the process is ended.
+    If it stored what they sent to engines for other replicas, which need nothing, the
+    rows would fill its memory until the process is killed.
     """
     sums = sums_of(OTHERS, routers=1)
     used = (UsedParts(7, (), 50),)
@@ -206,10 +206,10 @@
     assert sent(sums, 11.0)["b"].used == used
 
 
-def test_sums_that_lack_routers_are_whole_only_when_no_more_can_come():
-    """Some routers hear this replica and report to one that is cut from it.
+def test_sums_that_lack_routers_are_whole_only_after_settling():
+    """Some live routers report to a replica that is partitioned from this one.
 
-    They turn to a common replica within a second. Meanwhile sums of a part would give
+    They turn to a common replica within a second. Until then incomplete sums would give
     a customer of few routers far less than one of many.
     """
     sums = sums_of(OTHERS, routers=10)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""Callers, a router and servers that misbehave, over real sockets."""
+"""Callers, a router and faulty servers, over real sockets."""
 
 import asyncio
 import logging
@@ -33,10 +33,10 @@
         assert 0 < int(seen.headers["x-sesameford-deadline-ms"]) <= 2000
 
 
-async def test_what_only_the_system_may_set_is_not_taken_from_a_caller():
-    """A caller claims to be another customer and to hold another request's memory.
+async def test_headers_reserved_for_the_system_are_not_forwarded():
+    """A caller's headers name another customer and another request's cache.
 
-    Passed on, the rival would be charged for the work.
+    If they were forwarded, the other customer would be charged for the work.
     """
     async with open_desk(Fault.NONE) as desk:
         forged = {
@@ -60,11 +60,11 @@
         assert desk.runs == 1
 
 
-async def test_an_answer_that_comes_twice_reaches_nobody_else():
+async def test_a_duplicate_answer_does_not_reach_the_next_caller():
     """A server answers a call twice on one connection.
 
-    Without care the next caller on that connection gets the second answer, which
-    belongs to somebody else.
+    The next call on that connection must not get the second answer, which belongs to
+    another caller.
     """
     async with open_desk(Fault.TWICE) as desk:
         for number in range(6):
@@ -80,11 +80,11 @@
         assert (await desk.ask("/unsafe/"))[:2] == (200, b"answer to notes")
 
 
-async def test_an_answer_without_a_length_that_is_reset_is_not_whole():
-    """A server breaks off in an answer that has no length.
+async def test_an_answer_without_a_length_that_is_reset_counts_as_lost():
+    """A server resets the connection inside an answer that has no length.
 
-    The caller would get half of it, framed as if it were complete. The call may have
-    run, so it is not sent again and not said not to have run.
+    The caller must not get half of it, framed as if it were complete. The call may have
+    run, so it is neither sent again nor reported as not run.
     """
     async with open_desk(Fault.UNFRAMED_RESET) as desk:
         assert (await desk.ask("/unsafe/"))[0] == 502
@@ -93,10 +93,10 @@
 
 @pytest.mark.parametrize("fault", [Fault.CLOSE, Fault.MUTE])
 async def test_a_call_that_may_have_run_is_not_sent_again(fault):
-    """A server takes a call that may run once, and its answer is lost.
+    """A server accepts a call that may run only once, and its answer is lost.
 
-    Sent to a second server it would run twice, and told "not run" the caller would
-    send it again himself: two mailings.
+    Sent to a second server the call would run twice. If it were reported as not run,
+    the caller would send it again, which means two mailings.
     """
     async with open_desk(fault, fault) as desk:
         status = (await desk.ask("/unsafe/"))[0]
@@ -111,7 +111,7 @@
             assert (await desk.ask("/safe/"))[0] == 200
 
 
-async def test_a_failure_of_a_repeatable_call_is_tried_once_more_and_then_told():
+async def test_a_failed_repeatable_call_is_retried_once_and_then_reported():
     async with open_desk(Fault.ERROR, Fault.ERROR) as desk:
         status, _, headers = await desk.ask("/safe/")
         assert status == 500
@@ -119,8 +119,8 @@
         assert desk.runs == 2
 
 
-async def test_a_call_that_a_server_did_not_run_is_said_not_to_have_run():
-    """All servers are full and say so; the caller may send the call again."""
+async def test_a_call_that_no_server_ran_is_reported_as_not_run():
+    """All servers answer that they are full; the caller may send the call again."""
     async with open_desk(Fault.SHED) as desk:
         status, _, headers = await desk.ask("/unsafe/")
         assert status == 503
@@ -128,8 +128,8 @@
         assert desk.runs == 0
 
 
-async def test_a_port_that_nobody_listens_on_is_passed_over():
-    """A server died without a word. Nothing was sent, so the call goes elsewhere."""
+async def test_a_server_whose_port_is_closed_is_skipped():
+    """A server died. Nothing was sent, so the call goes to another one."""
     async with open_desk(Fault.NONE, Fault.NONE) as desk:
         await desk.servers[0].stop()
         for _ in range(4):
@@ -137,11 +137,11 @@
         assert desk.servers[1].runs.total() > 0
 
 
-async def test_a_call_that_never_left_has_had_none_of_its_attempts():
+async def test_a_failed_connect_uses_up_no_attempt():
     """Two of three servers died, and the call may be sent to one server only.
 
-    Given up after the first port without a listener, the call would be refused
-    although a server is well.
+    If the router gave up after the first closed port, the call would be refused
+    although one server is healthy.
     """
     async with open_desk(Fault.NONE, Fault.NONE, Fault.NONE) as desk:
         await desk.servers[0].stop()
@@ -151,7 +151,7 @@
         assert desk.servers[2].runs.total() == 4
 
 
-async def test_idle_connections_of_callers_end_with_the_setting():
+async def test_idle_connections_of_callers_are_closed_after_the_set_time():
     """Callers leave connections open; each holds a descriptor and its buffers."""
     async with open_desk(Fault.NONE) as desk:
         desk.port.set_idle_seconds(0.1)
@@ -166,25 +166,25 @@
         writer.close()
 
 
-async def test_another_server_at_the_address_runs_nothing():
-    """An address was given to another server; it says so and the call is not run."""
+async def test_another_server_at_an_address_runs_no_call():
+    """An address now belongs to another server, which rejects the call."""
     async with open_desk(Fault.NONE) as desk:
         desk.servers[0].target_id = "another"
         assert (await desk.ask("/unsafe/"))[0] == 503
         assert desk.runs == 0
 
 
-async def test_a_stream_is_passed_on_whole():
+async def test_a_stream_is_forwarded_completely():
     async with open_desk(Fault.NONE) as desk:
         status, body, _ = await desk.ask("/stream/")
         assert status == 200
         assert body.count(b"id: ") == 3
 
 
-async def test_a_resumable_stream_goes_on_at_another_server():
+async def test_a_resumable_stream_continues_at_another_server():
     """A server dies in the middle of an event.
 
-    The caller reads each event once and in order, and no half of one.
+    The caller must read each event once, in order and complete.
     """
     async with open_desk(Fault.CUT_STREAM, Fault.NONE) as desk:
         for _ in range(2):
@@ -195,7 +195,7 @@
 async def test_a_stream_that_breaks_off_does_not_look_complete(caplog):
     """A server dies inside a stream that can't be resumed.
 
-    Ended in order, the half of a letter would be printed as the whole of it.
+    If the stream ended normally, the caller would use half of a letter as the whole.
     """
     async with open_desk(Fault.CUT_STREAM) as desk:
         with pytest.raises(ClientPayloadError):
@@ -217,15 +217,15 @@
                 await asyncio.sleep(0.01)
 
 
-async def test_a_route_s_time_ends_a_call():
-    """A server never answers; the caller hears so when the route's time is over."""
+async def test_the_timeout_of_a_route_ends_a_call():
+    """A server never answers; the caller gets an error after the route's timeout."""
     async with open_desk(Fault.MUTE) as desk:
         started = asyncio.get_running_loop().time()
         assert (await desk.ask("/short/"))[0] == 504
         assert asyncio.get_running_loop().time() - started < 1.0
 
 
-async def test_connections_to_servers_are_kept():
+async def test_connections_to_servers_are_reused():
     async with open_desk(Fault.NONE) as desk:
         for _ in range(5):
             await desk.ask("/unsafe/")
@@ -233,10 +233,11 @@
 
 
 async def test_a_planned_stop_ends_idle_connections():
-    """A router stops while a client keeps a connection open and sends again on it.
+    """A router stops while a client keeps a connection open to send again on it.
 
-    A request on a connection that nobody reads any more would wait until the process
-    ends and then be cut. Closed at once, the client sends it to another router.
+    A request on a connection that is no longer read would wait until the process ends
+    and then be lost. If the connection is closed at once, the client uses another
+    router.
     """
     async with open_desk(Fault.NONE) as desk:
         host, port = desk.address.split(":")
@@ -253,11 +254,11 @@
         writer.close()
 
 
-async def test_a_loop_that_is_far_behind_passes_nothing_on():
-    """One caller floods an instance, whose loop turns once in half a second.
+async def test_a_router_whose_loop_is_late_forwards_no_call():
+    """One caller overloads an instance, whose loop takes half a second for a turn.
 
-    Requests lie unread until their callers have left. Passed on, they make servers
-    work for nobody, and all other callers of the instance wait for that as well.
+    Requests lie unread until their callers have left. If they were forwarded, servers
+    would work for callers that have left, and all others would wait for that too.
     """
     async with open_desk(Fault.NONE) as desk:
         desk.deps.lag.record_run(0.0, monotonic() - 1.0)
@@ -279,11 +280,11 @@
 )
 
 
-async def test_a_flood_of_one_customer_sends_the_others_to_other_instances(caplog):
-    """All callers of one customer come to one instance and keep it busy.
+async def test_overload_by_one_customer_refuses_others_with_a_short_delay(caplog):
+    """All callers of one customer use one instance and keep it busy.
 
-    The others whose callers come there too were turned away with it for a second,
-    which is longer than most can wait, while two hundred instances had room.
+    Other customers' callers there were refused with a Retry-After of a second, which is
+    longer than most can wait, while two hundred instances had spare capacity.
     """
     caplog.set_level(logging.WARNING)
     tree = effective_tree(parse_tree(FLOODED_TREE, "t"), 1)
@@ -309,11 +310,13 @@
 
 
 @pytest.mark.parametrize(("late_seconds", "served"), [(0.06, 10), (0.5, 10), (0.8, 0)])
-async def test_a_flooded_router_serves_the_flood_s_own_share(late_seconds, served):
-    """All callers of one customer come to one instance, whose loop they keep late.
+async def test_an_overloaded_router_serves_the_share_of_the_overloading_customer(
+    late_seconds, served
+):
+    """All callers of one customer use one instance and keep its loop late.
 
-    Its rivals' callers come by seventy instances. Turned away whole for as long as the
-    flood lasted, the customer got less than half of what each of its rivals got.
+    The callers of other customers use seventy instances. When the customer was refused
+    completely during the overload, it got less than half of what each other one got.
     """
     tree = effective_tree(
         parse_tree(FLOODED_TREE.replace("pool: {}", "pool: {batch_slots: 8}"), "t"), 1
@@ -343,11 +346,11 @@
         (Fault.SHED, "/unsafe/", 0),
     ],
 )
-async def test_what_a_server_fails_is_counted_once(fault, path, failed):
-    """A server runs calls and fails them, or its answers are lost on the way.
+async def test_a_failure_of_a_server_is_counted_once(fault, path, failed):
+    """A server fails calls that it ran, or its answers are lost.
 
-    Counted by no router it looks idle, and gets more calls than the others. One that
-    says that it did not run a call is only full.
+    If routers did not count that, it would look idle and get more calls than others. A
+    server that reports a call as not run is only full.
     """
     async with open_desk(fault) as desk:
         await desk.ask(path)
@@ -356,11 +359,11 @@
     assert sum(one.answered for one in outcomes) == (fault is Fault.NONE)
 
 
-async def test_a_call_without_time_left_takes_no_place_at_its_server():
-    """A caller's patience ends while its call waits to be sent.
+async def test_a_call_without_time_left_releases_its_reservation():
+    """A caller's timeout ends while its call waits to be sent.
 
-    Its server was chosen, and the place counted there for ever: after some days of
-    such calls the server would look full, and its silence would not be noticed.
+    The reservation at the chosen server was never released: after some days of such
+    calls the server would look full, and its silence would not be noticed.
     """
     async with open_desk(Fault.NONE) as desk:
         status, _, _ = await desk.ask("/unsafe/", **{"X-Sesameford-Deadline-Ms": "5"})
@@ -370,7 +373,7 @@
 
 
 async def ask_on_a_new_connection(desk, path):
-    """Ask as a caller that opens a connection for each try and leaves it open."""
+    """Send a request on a new connection, and leave the connection open."""
     host, port = desk.address.split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     lines = [f"GET {path} HTTP/1.1"]
@@ -379,11 +382,11 @@
     return await reader.read(300), writer
 
 
-async def test_callers_who_are_turned_away_don_t_use_up_all_connections():
-    """A flooding caller comes back on a new connection each time, and keeps the others.
+async def test_refused_callers_do_not_use_up_all_connections():
+    """A caller retries on a new connection each time and keeps the old ones open.
 
-    Once all that the router may have are open, everybody is cut off without an answer,
-    though the router has nothing to do.
+    Once the router's connection limit is reached, all callers would be disconnected
+    without an answer, though the router is idle.
     """
     limits = GuardLimits(connections=20, per_address=20)
     async with open_desk(Fault.NONE, limits=limits) as desk:
--- a/tests/test_load_system.py
+++ b/tests/test_load_system.py
@@ -29,7 +29,7 @@
 
 
 class Router:
-    """A router before one engine; ``replicas`` are those that it hears."""
+    """A router with one engine; ``replicas`` are those that are live for it."""
 
     def __init__(self):
         self.replicas = []
@@ -52,8 +52,8 @@
             Random(1),
         )
 
-    def flood(self, seconds, begin_seconds=0.0):
-        """Let one customer ask for ten times what all engines can do."""
+    def overload(self, seconds, begin_seconds=0.0):
+        """Let one customer request ten times what all engines can process."""
         engine = self.state.tree.services["pool"]
         for step in range(int(seconds / TICK_SECONDS)):
             now_seconds = begin_seconds + step * TICK_SECONDS
@@ -68,22 +68,22 @@
         return begin_seconds + seconds
 
 
-def test_a_router_that_is_cut_off_limits_who_asks_too_much():
-    """A router hears no replica while one customer floods it.
+def test_an_isolated_router_limits_a_customer_by_its_own_demand():
+    """A router reaches no replica while one customer overloads it.
 
-    It is sent no shares. Were it to let everything in, all others would wait behind
-    the flood, at this router and at all that share its engines.
+    It receives no shares. If it admitted everything, all other customers would wait
+    behind the burst, at this router and at all that share its engines.
     """
     router = Router()
-    router.flood(3.0)
+    router.overload(3.0)
     assert router.load.gate.fractions["flood"] < 0.5
     assert router.sent == []
 
 
-def test_what_a_replica_sends_goes_before_what_is_asked_here():
-    """The cut is over; the replica knows what all routers are asked."""
+def test_shares_of_a_replica_replace_those_from_own_demand():
+    """The partition is over, and the replica knows the demand at all routers."""
     router = Router()
-    now_seconds = router.flood(3.0)
+    now_seconds = router.overload(3.0)
     router.replicas = ["replica-2", "replica-1"]
     shares = (ShareRow("other", 0.25),)
     router.load.handle_fleet_load("replica-1", FleetLoad((), 3, shares), now_seconds)
@@ -95,11 +95,11 @@
     assert reported.message.target_loads[0].unread_tokens > 0
 
 
-def test_a_router_of_a_large_fleet_is_not_heard_more_often_than_the_replica_can_read():
-    """Three hundred and sixty routers have nothing new to tell.
+def test_a_router_of_a_large_fleet_reports_no_more_often_than_a_replica_can_read():
+    """The loads of 360 routers do not change.
 
-    If each reported five times a second, the replica that adds up would get 1,800
-    messages a second, where it can take some five hundred beside its other work.
+    If each reported five times a second, the aggregator would get 1,800 messages a
+    second, and it can process some five hundred besides its other work.
     """
     router = Router()
     router.replicas = ["replica-1"]
@@ -113,11 +113,11 @@
     assert 360 * len(router.sent) / 4.0 < 550
 
 
-def test_a_router_logs_by_what_each_customer_was_served(caplog):
-    """A customer complains that it got less than its rival.
+def test_a_router_logs_how_each_customer_was_served(caplog):
+    """A customer complains that it got less than another one.
 
-    Its refusals alone can't show it: at a flooded router most of them are not written,
-    and what the rival got by room at engines looks like any other answer.
+    Its refusals alone can't show that: an overloaded router leaves out most of their
+    lines, and what the other got from spare capacity looks like any other answer.
     """
     caplog.set_level(logging.INFO)
     router = Router()
@@ -143,11 +143,11 @@
     assert gate.account.totals["refused"] == 5_000
 
 
-def test_sums_of_a_few_routers_don_t_replace_those_of_all():
-    """A replica has just begun to add up and has heard three routers of seventy.
+def test_incomplete_sums_do_not_replace_whole_ones():
+    """A replica has just become the aggregator and has reports of 3 of 70 routers.
 
-    By its sums nobody asks too much; taken for those of the fleet, they would let the
-    whole flood in.
+    By its sums no customer requests too much. Applied as those of the fleet, they would
+    admit the whole burst.
     """
     router = Router()
     router.replicas = ["replica-1"]
@@ -160,11 +160,11 @@
     assert router.load.report.routers == 70
 
 
-def test_old_sums_of_all_routers_give_way_to_new_ones_of_a_few():
-    """All replicas are killed and start again in a flood that has just begun.
+def test_incomplete_sums_replace_expired_whole_ones():
+    """All replicas are killed and restart during a burst that has just started.
 
-    None knows all routers yet. Shares from before the flood would let it in for as
-    long as that lasts.
+    None knows all routers yet. Shares from before the burst would admit it until one
+    does.
     """
     router = Router()
     router.load.handle_fleet_load("replica-1", FleetLoad((), 70, ()), 1.0)
@@ -175,19 +175,19 @@
     assert router.load.gate.fractions == {"flood": 0.1}
 
 
-def test_a_router_that_knows_nothing_takes_the_sums_of_a_few():
-    """All machines have lost power; whoever comes first is better than nothing."""
+def test_a_router_without_sums_applies_incomplete_ones():
+    """All machines have lost power; incomplete sums are better than none."""
     router = Router()
     part = FleetLoad((), 3, (ShareRow("flood", 0.1),), is_whole=False)
     router.load.handle_fleet_load("replica-1", part, 1.0)
     assert router.load.gate.fractions == {"flood": 0.1}
 
 
-def test_a_replica_that_gets_no_reports_from_here_decides_nothing_here():
-    """A router has passed a slow replica over; that one still sends it sums.
+def test_sums_of_a_replica_that_is_not_chosen_are_ignored():
+    """A router has excluded a slow replica, which still sends it sums.
 
-    By turns with those of the other replica they would drop the shares of the one and
-    then of the other.
+    Alternating with the sums of the chosen replica, they would replace its shares each
+    time.
     """
     router = Router()
     router.replicas = ["replica-1", "replica-2"]
@@ -200,11 +200,11 @@
 
 
 class Replica:
-    """A replica that adds up; it knows of the routers that it has heard."""
+    """An aggregator; routers are live for it once they have reported."""
 
     def __init__(self):
         self.sent = []
-        self.heard = set()
+        self.live_routers = set()
         state = make_gateway_state(effective_tree(parse_tree(TREE, "t"), 1))
         self.load = make_load_system(
             True,
@@ -213,16 +213,16 @@
             LiveInstances(
                 lambda now_seconds, within_seconds: (),
                 lambda now_seconds, within_seconds: (),
-                lambda now_seconds, within_seconds: len(self.heard),
+                lambda now_seconds, within_seconds: len(self.live_routers),
             ),
             self.sent.append,
             Random(1),
         )
 
-    def reported_by(self, routers, now_seconds):
-        """Let routers report, and return whether it answers with whole sums."""
+    def receive_reports(self, routers, now_seconds):
+        """Let routers report; return whether the replica answers with whole sums."""
         for number in routers:
-            self.heard.add(number)
+            self.live_routers.add(number)
             customers = (CustomerRates("flood", 40_000),)
             load = RouterLoad((), customers)
             self.load.handle_report(f"r{number}", load, now_seconds)
@@ -230,33 +230,33 @@
         self.load.tick(now_seconds)
         return all(one.message.is_whole for one in self.sent)
 
-    def add_up(self, from_seconds, to_seconds):
-        """Add up all of seventy routers for a while; return whether all is told."""
+    def receive_all_reports(self, from_seconds, to_seconds):
+        """Let all 70 routers report; return whether the last answers are whole."""
         whole = False
         for step in range(round((to_seconds - from_seconds) / 0.2)):
-            whole = self.reported_by(range(70), from_seconds + 0.2 * step)
+            whole = self.receive_reports(range(70), from_seconds + 0.2 * step)
         return whole
 
 
-def test_a_replica_that_has_woken_does_not_take_the_first_routers_for_all():
-    """The replica with the lowest id stood still for seconds and wakes in a flood.
+def test_first_sums_of_a_resumed_replica_are_not_whole():
+    """The replica with the lowest id stood still for seconds and resumes in a burst.
 
-    Its links come back one after the other, so it has heard of no more routers than
-    those that report to it. By sums of the first few nobody is limited; taken for
-    those of all, they let 3,200 thousand tokens in within a second, and prompts waited
-    for three seconds.
+    Its links come back one after the other, so it knows only the routers that report to
+    it. By the sums of the first few no customer is limited. Applied as whole, they
+    admitted 3,200 thousand tokens within a second, and prompts waited for three
+    seconds.
     """
     replica = Replica()
-    assert replica.add_up(1.0, 4.0)
-    replica.heard.clear()
-    assert not replica.reported_by(range(1), 11.0)
-    assert not replica.reported_by(range(20), 11.2)
-    assert not replica.reported_by(range(50), 11.4)
-    assert replica.add_up(11.6, 13.2)
+    assert replica.receive_all_reports(1.0, 4.0)
+    replica.live_routers.clear()
+    assert not replica.receive_reports(range(1), 11.0)
+    assert not replica.receive_reports(range(20), 11.2)
+    assert not replica.receive_reports(range(50), 11.4)
+    assert replica.receive_all_reports(11.6, 13.2)
 
 
-def test_a_replica_that_has_started_does_not_take_the_first_routers_for_all():
+def test_first_sums_of_a_started_replica_are_not_whole():
     replica = Replica()
-    assert not replica.reported_by(range(3), 1.0)
-    assert not replica.reported_by(range(30), 1.2)
-    assert replica.add_up(1.4, 3.0)
+    assert not replica.receive_reports(range(3), 1.0)
+    assert not replica.receive_reports(range(30), 1.2)
+    assert replica.receive_all_reports(1.4, 3.0)
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, and which trees of routes are refused."""
+"""Routing by host and path prefix, and the rejection of invalid routes."""
 
 from collections import Counter
 
@@ -52,7 +52,7 @@
     assert (found.route_id if found else None) == route_id
 
 
-def test_routes_inherit_and_set_their_own():
+def test_routes_inherit_and_override_settings():
     tree = routes(
         """
   backends: [{service: x, weight: 1}]
@@ -69,14 +69,14 @@
     assert tree.routes["group/one"].attempts == 3
 
 
-def test_a_split_follows_its_weights():
+def test_traffic_is_split_by_weight():
     backends = (BackendSettings("x", 90), BackendSettings("y", 10))
     route = HttpRouteSettings("r", backends=backends)
     drawn = Counter(choose_service(route, number / 1000) for number in range(1000))
     assert drawn == {"x": 900, "y": 100}
 
 
-def test_a_service_without_weight_gets_nothing():
+def test_a_service_of_weight_zero_gets_no_requests():
     backends = (BackendSettings("x", 0), BackendSettings("y", 1))
     route = HttpRouteSettings("r", backends=backends)
     assert {choose_service(route, n / 100) for n in range(100)} == {"y"}
@@ -94,10 +94,10 @@
         "{children: {a: {backends: [{service: x}]}}}",
     ],
 )
-def test_routes_that_contradict_each_other_or_lead_nowhere_are_refused(text):
-    """An operator declares a route that no request could be served by.
+def test_routes_that_conflict_or_have_no_service_are_rejected(text):
+    """An operator declares a route that could serve no request.
 
-    In force, callers of that route would be refused until somebody noticed.
+    In force, it would make the router refuse all calls of the route.
     """
     with pytest.raises(TreeError):
         parse_tree(f"{SERVICES}\nroutes: {text}", "t")
--- a/tests/test_target_outcomes.py
+++ b/tests/test_target_outcomes.py
@@ -1,4 +1,4 @@
-"""Which targets fail part of what they are sent, without a network."""
+"""Detection of targets that fail a part of their requests, without a network."""
 
 from sesameford.gateway.target_outcomes import (
     DECAY_SECONDS,
@@ -13,10 +13,10 @@
 
 
 def test_reports_of_many_routers_show_a_target_that_fails_half():
-    """Each router sees one request a second at a target that fails every other one.
+    """Each router sends one request a second to a target that fails every other one.
 
-    Its heartbeats are sound and it looks idle, since what fails is over at once, so it
-    gets more than the others until somebody adds the failures up.
+    Its heartbeats are normal and it looks idle, since failed requests end at once, so
+    it gets more than others until the failures of all routers are summed.
     """
     table = make_target_outcome_table()
     for number in range(40):
@@ -29,13 +29,13 @@
     assert 0.4 < parts[1] <= 0.5
 
 
-def test_one_failure_among_few_answers_says_little():
+def test_one_failure_among_few_answers_does_not_count():
     table = make_target_outcome_table()
     table.record_outcomes((TargetOutcomes(1, 20, 1),))
     assert failing(table, 0.0) == {}
 
 
-def test_a_target_that_answers_again_is_trusted_again():
+def test_a_target_that_answers_again_counts_as_healthy_again():
     table = make_target_outcome_table()
     table.record_outcomes((TargetOutcomes(1, 0, 30),))
     assert failing(table, 0.0)[1] > 0.8
@@ -47,8 +47,8 @@
     assert parts.get(1, 0.0) < 2 * MIN_FAILED_PART
 
 
-def test_a_target_that_gets_nothing_more_is_forgotten():
-    """Nobody sends to it, so nothing could show that it has recovered."""
+def test_a_target_without_requests_stops_counting_as_failing():
+    """Without requests nothing could show that it has recovered."""
     table = make_target_outcome_table()
     table.record_outcomes((TargetOutcomes(1, 0, 30),))
     now_seconds = 0.0
