--- a/sesameford/gateway/admit.py
+++ b/sesameford/gateway/admit.py
@@ -150,7 +150,7 @@
     )
     is_limited = customer in deps.gate.fractions
     if prompt is not None and (has_caller_left or not is_limited):
-        deps.gate.record_rejection(customer, prompt.cost_tokens)
+        deps.gate.record_refused_demand(customer, prompt.cost_tokens)
     elif prompt is not None:
         is_within_share = deps.gate.admits(customer, route.route_id, prompt.cost_tokens)
         if is_within_share:
@@ -224,17 +224,17 @@
     queue = deps.placement.plain_queue(service, deps.now())
     takes_seconds = queue.takes_seconds
     limit = deps.queue_limits.setdefault(service, make_queue_limit())
-    rejected_part = limit.update(
+    refused_part = limit.update(
         takes_seconds, queue.work_seconds, route.objective_seconds, deps.now()
     )
-    if deps.random.random() < rejected_part:
+    if deps.random.random() < refused_part:
         raise Refusal(
             503,
             "queue-full",
             takes_seconds,
             route.route_id,
             customer,
-            f"takes {takes_seconds:.3f} s, rejected part {rejected_part:.2f}",
+            f"takes {takes_seconds:.3f} s, rejected part {refused_part:.2f}",
         )
 
 
--- a/sesameford/gateway/call_context.py
+++ b/sesameford/gateway/call_context.py
@@ -118,7 +118,7 @@
     ``homes`` are the regions in which it may run, None for all. ``tried`` are the
     targets that it was sent to, ``send_attempts`` how often, without the
     ``failed_connects``. ``response`` is set once the caller has received a part of
-    the answer, and ``passed_events`` tracks the events of a resumable stream.
+    the answer, and ``forwarded_events`` tracks the events of a resumable stream.
     """
 
     call: Call
@@ -134,7 +134,7 @@
     failed_connects: int = 0
     may_have_run: bool = False
     response: web.StreamResponse | None = None
-    passed_events: EventStream | None = None
+    forwarded_events: EventStream | None = None
     status: int = 0
     first_event_seconds: float | None = None
     last_event_at_seconds: float = 0.0
--- a/sesameford/gateway/engine_backlog.py
+++ b/sesameford/gateway/engine_backlog.py
@@ -28,7 +28,7 @@
 # A prompt overdue by more than this counts as lost with its answer: the engine has
 # finished it, or is silent and excluded for that. If lost requests counted until their
 # callers give up, some seconds of lost answers would make engines with free slots look
-# full, and all customers' callers would be rejected.
+# full, and all customers' callers would be refused.
 LOST_ANSWER_SECONDS = 1.0
 
 
--- a/sesameford/gateway/gateway_node.py
+++ b/sesameford/gateway/gateway_node.py
@@ -260,7 +260,7 @@
         self._broadcast_hello()
 
     def request_stop(self) -> None:
-        """Begin a planned stop; a repeated call does not cut it short."""
+        """Start a planned stop; a repeated call does not shorten it."""
         self._stop.ask(self._now())
         self._send_heartbeats()
 
--- a/sesameford/gateway/placement.py
+++ b/sesameford/gateway/placement.py
@@ -56,7 +56,7 @@
 MAX_BUSY_SLOTS_FRACTION = 0.5
 # How long the mean wait over all engines is cached. A router that one customer
 # overloads needs it for hundreds of requests a second, and computing it each time
-# would cost more than the rest of a rejection.
+# would cost more than the rest of a refusal.
 MEAN_WAIT_CACHE_SECONDS = 0.02
 # A plain target that fails all its requests counts as fuller by so many times its
 # slots, so that healthy ones are preferred until callers queue there.
--- a/sesameford/gateway/serve.py
+++ b/sesameford/gateway/serve.py
@@ -152,8 +152,11 @@
     context.reservation = reservation
     context.tried |= {reservation.target_id}
     resume_after = context.call.resume_after
-    if context.passed_events is not None and context.passed_events.last_event_id >= 0:
-        resume_after = str(context.passed_events.last_event_id)
+    if (
+        context.forwarded_events is not None
+        and context.forwarded_events.last_event_id >= 0
+    ):
+        resume_after = str(context.forwarded_events.last_event_id)
     attempt = SendAttempt(
         reservation.target_id,
         context.customer,
@@ -173,7 +176,9 @@
         ) as exchange:
             deps.placement.record_answer_data(reservation, deps.now())
             async with body_until(context.until_seconds):
-                answer = await _pass_on(deps, request, context, reservation, exchange)
+                answer = await _forward_answer(
+                    deps, request, context, reservation, exchange
+                )
         is_failed = context.status >= 500
     except SendAttemptError as error:
         is_failed = error.outcome in (SendOutcome.LOST, SendOutcome.BROKEN)
@@ -190,7 +195,7 @@
     return answer
 
 
-async def _pass_on(
+async def _forward_answer(
     deps: GatewayDeps,
     request: web.BaseRequest,
     context: CallContext,
@@ -200,7 +205,7 @@
     head = exchange.head
     context.status = context.status or head.status
     if context.route.is_stream and 200 <= head.status < 300:
-        return await _pass_stream(deps, request, context, reservation, exchange)
+        return await _forward_stream(deps, request, context, reservation, exchange)
     if context.response is not None:
         raise SendAttemptError(
             SendOutcome.BROKEN, f"status {head.status} in place of the rest"
@@ -222,7 +227,7 @@
     return context.send_attempts >= context.route.attempts
 
 
-async def _pass_stream(
+async def _forward_stream(
     deps: GatewayDeps,
     request: web.BaseRequest,
     context: CallContext,
@@ -234,8 +239,8 @@
     if response is None:
         response = web.StreamResponse(status=exchange.head.status)
         _set_headers(deps, response, exchange.head.headers)
-    if context.route.resumable and context.passed_events is None:
-        context.passed_events = EventStream()
+    if context.route.resumable and context.forwarded_events is None:
+        context.forwarded_events = EventStream()
     async for chunk in exchange.chunks():
         if context.record_event(deps.now()):
             if context.call.prompt is not None:
@@ -246,13 +251,13 @@
             deps.placement.record_first_event(reservation, deps.now())
         deps.placement.record_answer_data(reservation, deps.now())
         ready = (
-            context.passed_events.feed(chunk)
-            if context.passed_events is not None
+            context.forwarded_events.feed(chunk)
+            if context.forwarded_events is not None
             else chunk
         )
         if ready:
             await _write(request, context, response, ready)
-    if context.passed_events is not None and context.passed_events.held_bytes:
+    if context.forwarded_events is not None and context.forwarded_events.held_bytes:
         raise SendAttemptError(SendOutcome.BROKEN, "the stream ended inside an event")
     if context.response is None:
         await _write(request, context, response, b"")
@@ -303,8 +308,8 @@
         # No target received the call, so it does not count as an attempt.
         context.send_attempts -= 1
         context.failed_connects += 1
-    if error.outcome is SendOutcome.BROKEN and context.passed_events is not None:
-        context.passed_events.drop_partial()
+    if error.outcome is SendOutcome.BROKEN and context.forwarded_events is not None:
+        context.forwarded_events.drop_partial()
 
 
 def _record_first_event_time(deps: GatewayDeps, context: CallContext) -> None:
--- a/sesameford/gateway/share_gate.py
+++ b/sesameford/gateway/share_gate.py
@@ -105,7 +105,7 @@
             route_id: Its route.
             tokens: What it costs.
             has_spare_capacity: Returns whether an engine could start at once. Called
-                for some requests of a customer over its share: rejecting those would
+                for some requests of a customer over its share: refusing those would
                 serve no other customer sooner.
         """
         self._rates.setdefault(customer, _Rates()).requested.add(tokens)
@@ -113,11 +113,11 @@
         self.account.record_request(customer, tokens, admission)
         return admission is not Admission.REFUSED
 
-    def record_rejection(self, customer: str, tokens: int) -> None:
-        """Count a rejected request of a customer without a limit.
+    def record_refused_demand(self, customer: str, tokens: int) -> None:
+        """Count a refused request of a customer without a limit.
 
         It counts as demand all the same: otherwise a customer whose requests are all
-        rejected during overload would never be limited, and never get a share.
+        refused during overload would never be limited, and never get a share.
         """
         self._rates.setdefault(customer, _Rates()).requested.add(tokens)
         self.account.record_request(customer, tokens, Admission.REFUSED)
--- a/sesameford/gateway/shares.py
+++ b/sesameford/gateway/shares.py
@@ -5,7 +5,7 @@
 lowers the total that is served, and divides that max-min fairly: a customer that
 requests less than an even share gets all of it, the others the same amount each, more
 or less by their recent service. Routers are sent the fraction that each of these
-customers gets, and reject its other requests at once.
+customers gets, and refuse its other requests at once.
 """
 
 from collections.abc import Mapping, Sequence
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -313,7 +313,7 @@
         for name, gate in gates.items():
             for _ in range(20):
                 if name == "flood" and name not in gate.fractions:
-                    gate.record_rejection(name, 1_000)
+                    gate.record_refused_demand(name, 1_000)
                 elif gate.admits(name, "r", 1_000):
                     got[name] += 1
         rows = sum((gate.rows(now_seconds) for gate in gates.values()), ())
