--- a/sesameford/completion_run.py
+++ b/sesameford/completion_run.py
@@ -11,7 +11,7 @@
 
 from sesameford.answers import Completeness, judge_stream
 from sesameford.answers_http import outcome_headers
-from sesameford.caller_side import CallerGoneError, CallerSide
+from sesameford.caller_stream import CallerGoneError, CallerSide
 from sesameford.errors import TargetError, TargetLostError, TargetRefusedError
 from sesameford.event_stream import MAX_EVENT_BYTES, EventStream
 from sesameford.model_adapter import (
--- a/sesameford/outcomes.py
+++ b/sesameford/outcomes.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable, Sequence
 
-from sesameford.deaths import InFlightAttempts, TargetCrash
 from sesameford.effective import EffectiveTree, FleetSettings
+from sesameford.in_flight_attempts import InFlightAttempts, TargetCrash
 from sesameford.keyed import KeyedRequests
 from sesameford.messages import Outgoing, SuspectUpdate
 from sesameford.retries import RetryBudget, make_backoff
--- a/sesameford/relay.py
+++ b/sesameford/relay.py
@@ -9,7 +9,7 @@
 from aiohttp.web import Response, StreamResponse
 
 from sesameford.answers_http import OUTCOME_HEADER, OUTCOME_KEY, outcome_headers
-from sesameford.caller_side import CallerSide
+from sesameford.caller_stream import CallerSide
 from sesameford.claims import ClaimAnswer
 from sesameford.completion_run import CompletionRun, run_completion
 from sesameford.errors import (
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -87,7 +87,7 @@
 async def test_a_stream_without_events_sends_keep_alive_comments(monkeypatch):
     """An engine is silent in the middle of an answer. Without keep-alive comments
     the caller can't distinguish that from a silent connection of its own."""
-    monkeypatch.setattr("sesameford.caller_side.CALLER_HEARTBEAT_SECONDS", 0.05)
+    monkeypatch.setattr("sesameford.caller_stream.CALLER_HEARTBEAT_SECONDS", 0.05)
     async with open_world() as world:
         _, target = await world.add_engine()
         request_task = asyncio.create_task(
--- a/tools/count.py
+++ b/tools/count.py
@@ -19,8 +19,8 @@
     " aggregator_choice service_balance share_gate shares"
     " route_table serve call_context forward admit calls",
     "limits": "limits target_exclusion costs grant_answers shares loop_lag",
-    "retries": "retries suspects deaths silence outcomes claims keyed answers"
-    " completion_run service_run caller_side quarantine probes second_sends",
+    "retries": "retries suspects in_flight_attempts silence outcomes claims keyed"
+    " answers completion_run service_run caller_stream quarantine probes second_sends",
     "membership": "members target election owner_queries peer_state stops voters"
     " keepers heartbeat_table roster founding seeds",
     "state and recovery": "log_ tree state_machine fencing proposals effective",
