--- a/sesameford/early_answers.py
+++ b/sesameford/early_answers.py
@@ -54,7 +54,7 @@
         self._is_answered = False
         self._is_mid_head = False
 
-    def take_decision(self) -> Any:
+    def pop_decision(self) -> Any:
         """Return what was decided on the request that is handled now, or None."""
         decision, self._decision = self._decision, None
         return decision
@@ -230,7 +230,7 @@
         return EarlyHandler(self, self._decide, loop=self._loop, **self._kwargs)
 
 
-def take_decision(http: web.BaseRequest) -> Any:
+def pop_decision(http: web.BaseRequest) -> Any:
     """Return what was decided on a request when its head came, or None."""
     handler = http.protocol
-    return handler.take_decision() if isinstance(handler, EarlyHandler) else None
+    return handler.pop_decision() if isinstance(handler, EarlyHandler) else None
--- a/sesameford/gateway/serve.py
+++ b/sesameford/gateway/serve.py
@@ -4,7 +4,7 @@
 
 from aiohttp import web
 
-from sesameford.early_answers import take_decision
+from sesameford.early_answers import pop_decision
 from sesameford.event_stream import EventStream
 from sesameford.gateway.admit import begin, decide
 from sesameford.gateway.call_context import (
@@ -49,7 +49,7 @@
 
 async def serve_call(deps: GatewayDeps, http: web.BaseRequest) -> web.StreamResponse:
     """Answer one request of a caller."""
-    early: EarlyCall | None = take_decision(http)
+    early: EarlyCall | None = pop_decision(http)
     call = early.call if early is not None else None
     arrived_at_seconds = early.arrived_at_seconds if early is not None else deps.now()
     run = None
