--- a/sesameford/listener.py
+++ b/sesameford/listener.py
@@ -13,7 +13,7 @@
 # a second are accepted, and the others wait in the kernel until their callers give up,
 # while the loop itself is hardly late. Accepting many at once shows them to the code
 # that decides whom to turn away. Some thousand a second are accepted by this number.
-ACCEPTED_A_TURN = 64
+MAX_ACCEPTS_PER_TURN = 64
 # With no descriptor left nothing can be accepted; connections that end free some.
 PAUSE_SECONDS = 0.1
 
@@ -50,7 +50,7 @@
         self._listening.close()
 
     def _accept(self) -> None:
-        for _ in range(ACCEPTED_A_TURN):
+        for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
                 connection, _ = self._listening.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
--- a/standins/virtual_loop.py
+++ b/standins/virtual_loop.py
@@ -22,7 +22,7 @@
 from sesameford.gateway.placement import Placement
 from sesameford.gateway.second_sends import make_second_sends
 from sesameford.http_ports import BACKLOG_CONNECTIONS
-from sesameford.listener import ACCEPTED_A_TURN
+from sesameford.listener import MAX_ACCEPTS_PER_TURN
 from sesameford.settings import RetryBudgetSettings
 
 # Callers whose connection is not read for so long give up.
@@ -110,7 +110,7 @@
 
     def _accepted(self) -> list[WaitingCall]:
         """Return the calls that are taken in one turn."""
-        accepted = self._come(self.backlog)[:ACCEPTED_A_TURN]
+        accepted = self._come(self.backlog)[:MAX_ACCEPTS_PER_TURN]
         read = self._come(self.readable)
         for _ in accepted:
             self.backlog.popleft()
