--- a/sesameford/keyed.py
+++ b/sesameford/keyed.py
@@ -37,7 +37,7 @@
 MAX_UNSETTLED = 10_000
 ASK_AGAIN_SECONDS = 0.25
 SETTLE_AGAIN_SECONDS = 1.0
-UNANSWERED_ASKS = 8
+MAX_UNANSWERED_QUERIES = 8
 
 
 class RunState(StrEnum):
@@ -132,7 +132,7 @@
         """Return the time that deadlines of keyed requests count in."""
         return self._ports.now_seconds()
 
-    def word_on(self, owner: ClaimOwner, claim_index: int) -> OwnerReply:
+    def report_run_state(self, owner: ClaimOwner, claim_index: int) -> OwnerReply:
         """Answer a router that asks after a claim under this router's name."""
         if (owner.router_id, owner.incarnation) != (self._router_id, self._incarnation):
             return OwnerReply(RunState.LOST)
@@ -316,7 +316,7 @@
             word = await self._ask(reply.owner, reply.claim_index)
             if word is None:
                 unanswered += 1
-                if unanswered < UNANSWERED_ASKS:
+                if unanswered < MAX_UNANSWERED_QUERIES:
                     continue
                 word = OwnerReply(RunState.LOST)
             if word.standing is RunState.RUNNING:
@@ -336,7 +336,7 @@
 
     async def _ask(self, owner: ClaimOwner, claim_index: int) -> OwnerReply | None:
         if owner.router_id == self._router_id:
-            return self.word_on(owner, claim_index)
+            return self.report_run_state(owner, claim_index)
         return await self._ports.ask(owner, claim_index)
 
     async def _answer_of_ended(self, reply: ClaimReply) -> ClaimAnswer:
--- a/sesameford/owner_queries.py
+++ b/sesameford/owner_queries.py
@@ -65,7 +65,7 @@
     ) -> None:
         """Answer another router's question."""
         owner = ClaimOwner(self._router_id, message.incarnation, message.request_id)
-        word = keyed.word_on(owner, message.claim_index)
+        word = keyed.report_run_state(owner, message.claim_index)
         kept = word.answer or ClaimAnswer(0, (), b"")
         answer = StoredAnswer(
             message.query_id,
--- a/tests/faults_fixture.py
+++ b/tests/faults_fixture.py
@@ -171,7 +171,7 @@
     async def query_owner(self, owner, claim_index):
         for router in self.routers:
             if router.router_id == owner.router_id:
-                return router.keyed.word_on(owner, claim_index)
+                return router.keyed.report_run_state(owner, claim_index)
         return None
 
     async def sleep(self, seconds):
--- a/tests/test_keyed.py
+++ b/tests/test_keyed.py
@@ -59,7 +59,7 @@
         self.ran = []
 
     async def ask(self, owner, claim_index):
-        return self.routers[owner.router_id].word_on(owner, claim_index)
+        return self.routers[owner.router_id].report_run_state(owner, claim_index)
 
     async def pause(self, seconds):
         await asyncio.sleep(0)
--- a/tests/test_keyed_machine.py
+++ b/tests/test_keyed_machine.py
@@ -15,7 +15,7 @@
 from sesameford.claims import ClaimAnswer, ClaimsMachine
 from sesameford.errors import NoQuorumError, NotRunError, UnknownOutcomeError
 from sesameford.keyed import (
-    UNANSWERED_ASKS,
+    MAX_UNANSWERED_QUERIES,
     KeyedPorts,
     KeyedRequest,
     KeyedRequests,
@@ -234,14 +234,16 @@
 
     def word(self, step) -> OwnerReply:
         owner, claim_index = step.detail
-        return self.processes[owner.router_id].keyed.word_on(owner, claim_index)
+        return self.processes[owner.router_id].keyed.report_run_state(
+            owner, claim_index
+        )
 
     def owner_unreachable(self, place):
         """A router that is cut off answers none of the questions."""
         step = self.take(self.questions, place)
         asker, detail = step.process, step.detail
         self.finish(step, None)
-        for _ in range(UNANSWERED_ASKS):
+        for _ in range(MAX_UNANSWERED_QUERIES):
             again = [
                 other
                 for other in self.questions
