--- a/sesameford/caller_stream.py
+++ b/sesameford/caller_stream.py
@@ -19,11 +19,11 @@
 STREAM_TYPE = "text/event-stream"
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller closed its connection."""
 
 
-class CallerSide:
+class CallerStream:
     """Writes events to a caller, who may go away.
 
     Args:
@@ -55,7 +55,7 @@
         """Pass events on.
 
         Raises:
-            CallerGoneError: Nobody reads them, and nobody will.
+            CallerDisconnectedError: Nobody reads them, and nobody will.
         """
         if self._keeps and self._kept_bytes <= MAX_KEPT_STREAM_BYTES:
             self._kept.append(data)
@@ -75,7 +75,7 @@
         except (ConnectionError, ClientError) as error:
             self._gone = True
             if not self._keeps:
-                raise CallerGoneError from error
+                raise CallerDisconnectedError from error
         finally:
             self._writing_since_seconds = None
 
@@ -91,7 +91,7 @@
             self._drop_stalled()
             if self.started and self._is_idle:
                 # The stream's own writer meets the same and ends the request.
-                with suppress(CallerGoneError):
+                with suppress(CallerDisconnectedError):
                     await self._to_caller(self._stream.write(COMMENT))
 
     def _drop_stalled(self) -> None:
@@ -118,7 +118,7 @@
         await self._to_caller(self._stream.write_eof())
         return self._stream
 
-    def kept_answer(self) -> ClaimAnswer | None:
+    def stored_answer(self) -> ClaimAnswer | None:
         """Return the whole stream for resends, unless it is too large."""
         if self._kept_bytes > MAX_KEPT_STREAM_BYTES:
             return None
@@ -130,7 +130,7 @@
             # Never awaited, so it is closed lest Python warn of it.
             getattr(writing, "close", lambda: None)()
             if not self._keeps:
-                raise CallerGoneError
+                raise CallerDisconnectedError
             return
         try:
             async with timeout(CALLER_STALL_SECONDS):
@@ -138,4 +138,4 @@
         except (ConnectionError, ClientError, TimeoutError) as error:
             self._gone = True
             if not self._keeps:
-                raise CallerGoneError from error
+                raise CallerDisconnectedError from error
--- a/sesameford/claims.py
+++ b/sesameford/claims.py
@@ -15,7 +15,7 @@
 MAX_KEPT_BYTES = 16_000_000
 MAX_KEPT_ANSWER_BYTES = 16_384
 MAX_KEY_BYTES = 255
-CLAIM_KEEP_SECONDS = 3600.0
+CLAIM_RETENTION_SECONDS = 3600.0
 CLOCK_SOURCES = 15
 
 
@@ -316,7 +316,7 @@
     def _expire(self) -> None:
         while self._rows:
             oldest = next(iter(self._rows.values()))
-            if self._now_seconds - oldest.claimed_at_seconds < CLAIM_KEEP_SECONDS:
+            if self._now_seconds - oldest.claimed_at_seconds < CLAIM_RETENTION_SECONDS:
                 return
             self._remove(oldest)
 
--- a/sesameford/completion_run.py
+++ b/sesameford/completion_run.py
@@ -11,7 +11,7 @@
 
 from sesameford.answers import Completeness, judge_stream
 from sesameford.answers_http import outcome_headers
-from sesameford.caller_stream import CallerGoneError, CallerSide
+from sesameford.caller_stream import CallerDisconnectedError, CallerStream
 from sesameford.errors import TargetError, TargetLostError, TargetRefusedError
 from sesameford.event_stream import MAX_EVENT_BYTES, EventStream
 from sesameford.model_adapter import (
@@ -23,7 +23,7 @@
 from sesameford.read_watch import ReadWatch
 from sesameford.relay_deps import Call, RelayDeps, make_relayed_response, settle
 from sesameford.retries import AttemptHistory, Failure
-from sesameford.service_adapter import read_whole
+from sesameford.service_adapter import read_complete_body
 from sesameford.silence import (
     MAX_RESUMES_WITHOUT_DATA,
     PROBE_TIMEOUT_SECONDS,
@@ -54,7 +54,7 @@
     events: EventStream = field(default_factory=EventStream)
 
 
-async def run_completion(run: CompletionRun, caller: CallerSide) -> StreamResponse:
+async def run_completion(run: CompletionRun, caller: CallerStream) -> StreamResponse:
     """Run a completion, which the engine always streams, and return the answer.
 
     Raises:
@@ -64,14 +64,14 @@
         response = await _open_stream(run)
         if response.status != 200:
             with run.deps.tracer.start_as_current_span("relay"):
-                body = await read_whole(response)
+                body = await read_complete_body(response)
                 settle(run.deps, run.call, run.attempt, _usage(run), Outcome.RAN)
                 return make_relayed_response(response, body, run.call)
         with run.deps.tracer.start_as_current_span("relay"):
             if run.call.is_streamed:
                 return await _relay_stream(run, response, caller)
             return await _relay_whole(run, response)
-    except (asyncio.CancelledError, CallerGoneError):
+    except (asyncio.CancelledError, CallerDisconnectedError):
         settle(run.deps, run.call, run.attempt, _usage(run), Outcome.UNKNOWN)
         await asyncio.shield(_cancel(run))
         raise
@@ -119,7 +119,7 @@
 
 
 async def _relay_stream(
-    run: CompletionRun, response: ClientResponse, caller: CallerSide
+    run: CompletionRun, response: ClientResponse, caller: CallerStream
 ) -> StreamResponse:
     """Relay a stream to the caller as its events arrive."""
     heartbeat = run.deps.spawn(caller.keep_alive())
--- a/sesameford/relay.py
+++ b/sesameford/relay.py
@@ -9,7 +9,7 @@
 from aiohttp.web import Response, StreamResponse
 
 from sesameford.answers_http import OUTCOME_HEADER, OUTCOME_KEY, outcome_headers
-from sesameford.caller_stream import CallerSide
+from sesameford.caller_stream import CallerStream
 from sesameford.claims import ClaimAnswer
 from sesameford.completion_run import CompletionRun, run_completion
 from sesameford.errors import (
@@ -51,7 +51,7 @@
     """
     keyed = deps.outcomes.keyed
     if keyed is None or call.request.idempotency_key is None:
-        caller = CallerSide(http, call.request.request_id, keeps=False)
+        caller = CallerStream(http, call.request.request_id, keeps=False)
         deps.outcomes.open_requests += 1
         try:
             return await _run_to_outcome(deps, call, caller)
@@ -89,7 +89,7 @@
 ) -> StreamResponse:
     """Serve a request with an idempotency key."""
     result = _FirstCallerResult()
-    caller = CallerSide(http, call.request.request_id, keeps=True)
+    caller = CallerStream(http, call.request.request_id, keeps=True)
 
     async def run() -> RunEnd:
         try:
@@ -133,11 +133,11 @@
     )
 
 
-def _make_run_end(response: StreamResponse, caller: CallerSide) -> RunEnd:
+def _make_run_end(response: StreamResponse, caller: CallerStream) -> RunEnd:
     """Return the outcome of a keyed run and the answer to store."""
     if caller.started:
         is_complete = caller.outcome is Outcome.RAN
-        return RunEnd(caller.outcome, caller.kept_answer() if is_complete else None)
+        return RunEnd(caller.outcome, caller.stored_answer() if is_complete else None)
     body = response.body if isinstance(response, Response) else None
     # aiohttp's header names are a subclass of str that msgspec can't encode.
     headers = tuple(
@@ -160,7 +160,7 @@
 
 
 async def _run_to_outcome(
-    deps: RelayDeps, call: Call, caller: CallerSide
+    deps: RelayDeps, call: Call, caller: CallerStream
 ) -> StreamResponse:
     """Make attempts until one returns an answer or no retry is allowed."""
     request = call.request
@@ -271,7 +271,7 @@
 async def _make_attempt(
     deps: RelayDeps,
     call: Call,
-    caller: CallerSide,
+    caller: CallerStream,
     attempt: Attempt,
     history: AttemptHistory,
 ) -> StreamResponse:
@@ -342,7 +342,7 @@
 async def _run_attempt(
     deps: RelayDeps,
     call: Call,
-    caller: CallerSide,
+    caller: CallerStream,
     attempt: Attempt,
     target: Target,
     history: AttemptHistory,
--- a/sesameford/relay_deps.py
+++ b/sesameford/relay_deps.py
@@ -16,7 +16,7 @@
 from sesameford.probes import probe_target
 from sesameford.retries import PROVEN_NOT_STARTED, Failure
 from sesameford.router import Router
-from sesameford.service_adapter import HOP_HEADERS
+from sesameford.service_adapter import HOP_BY_HOP_HEADERS
 from sesameford.silence import Probe
 from sesameford.tables import Attempt, Outcome, Request, Target, Usage
 
@@ -136,7 +136,7 @@
     headers = {
         key: value
         for key, value in response.headers.items()
-        if key.lower() not in HOP_HEADERS and key != OUTCOME_HEADER
+        if key.lower() not in HOP_BY_HOP_HEADERS and key != OUTCOME_HEADER
     }
     headers.update(outcome_headers(Outcome.RAN, call.request.request_id))
     return Response(status=response.status, body=body, headers=headers)
--- a/sesameford/service_adapter.py
+++ b/sesameford/service_adapter.py
@@ -12,7 +12,7 @@
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE", "TRACE"})
 BODILESS_STATUSES = frozenset({204, 304})
 # Headers that belong to one connection, not to the message.
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -63,13 +63,13 @@
         TargetLostError: The exchange broke; the call may have run.
     """
     headers = {
-        **{k: v for k, v in headers.items() if k.lower() not in HOP_HEADERS},
+        **{k: v for k, v in headers.items() if k.lower() not in HOP_BY_HOP_HEADERS},
         ATTEMPT_HEADER: attempt.attempt_id,
     }
     return await send_request(session, method, target.url + path, body or None, headers)
 
 
-async def read_whole(response: ClientResponse) -> bytes:
+async def read_complete_body(response: ClientResponse) -> bytes:
     """Return the body of an answer, complete or not at all.
 
     Raises:
--- a/sesameford/service_run.py
+++ b/sesameford/service_run.py
@@ -8,7 +8,7 @@
 from sesameford.probes import probe_target
 from sesameford.relay_deps import Call, RelayDeps, make_relayed_response, settle
 from sesameford.retries import AttemptHistory, Failure
-from sesameford.service_adapter import open_call, read_whole
+from sesameford.service_adapter import open_call, read_complete_body
 from sesameford.silence import (
     NextStep,
     choose_next_step,
@@ -56,7 +56,7 @@
         deps.session, target, attempt, call.method, call.path, call.body, call.headers
     )
     try:
-        body = await read_whole(response)
+        body = await read_complete_body(response)
     finally:
         response.close()
     with deps.tracer.start_as_current_span("relay"):
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from sesameford.claims import (
-    CLAIM_KEEP_SECONDS,
+    CLAIM_RETENTION_SECONDS,
     Claim,
     ClaimAnswer,
     ClaimOwner,
@@ -89,7 +89,7 @@
 def test_claims_expire_once_most_routers_say_so():
     machine = ClaimsMachine()
     apply(machine, 1, claim(at=0.0))
-    late = CLAIM_KEEP_SECONDS + 1.0
+    late = CLAIM_RETENTION_SECONDS + 1.0
     again = apply(machine, 2, claim(request="r2", at=late))
     assert (again.verdict, len(machine)) == (ClaimVerdict.RUN, 1)
 
