--- a/sesameford/inbox.py
+++ b/sesameford/inbox.py
@@ -76,9 +76,9 @@
             case SuspectUpdate():
                 deps.outcomes.merge_suspect_update(message, now_seconds)
             case StoredAnswerQuery():
-                deps.words.asked(sender_id, message, deps.keyed)
+                deps.words.handle_query(sender_id, message, deps.keyed)
             case StoredAnswer():
-                deps.words.received(message)
+                deps.words.handle_answer(message)
             case ModelUseQuery():
                 deps.orders.wanted(sender_id, message)
             case ModelUse():
--- a/sesameford/instance.py
+++ b/sesameford/instance.py
@@ -160,7 +160,9 @@
         self.outcomes = Outcomes(
             crc32(settings.instance_id.encode()) ^ self.incarnation, self._send
         )
-        ports = KeyedPorts(self._log.propose, self._words.ask, asyncio.sleep, time)
+        ports = KeyedPorts(
+            self._log.propose, self._words.query_owner, asyncio.sleep, time
+        )
         self.keyed = KeyedRequests(settings.instance_id, self.incarnation, ports)
         self.outcomes.keyed = self.keyed
         self.registry.on_replaced(self.outcomes.record_target_replacement)
--- a/tests/test_keyed_machine.py
+++ b/tests/test_keyed_machine.py
@@ -100,7 +100,7 @@
         process = Process(router_id, incarnation)
         ports = KeyedPorts(
             propose=lambda *step: self.under_way(self.proposals, process, step),
-            ask=lambda *step: self.under_way(self.questions, process, step),
+            query_owner=lambda *step: self.under_way(self.questions, process, step),
             sleep=asyncio.sleep,
             now_seconds=self.loop.time,
         )
