--- a/sesameford/claims.py
+++ b/sesameford/claims.py
@@ -1,8 +1,8 @@
 """Claims on idempotency keys: a state machine of the replicated log.
 
 A router commits a claim on (customer, key, digest of the body) before it sends
-a keyed request to a target. Whoever sends the same key again, through any
-router and after any restart, learns from the claim what became of the first.
+a keyed request to a target. A request that repeats the key, through any router
+and after any restart, finds the outcome of the first request in the claim.
 """
 
 from enum import StrEnum
@@ -12,19 +12,19 @@
 from msgspec.structs import replace
 
 MAX_CLAIMS = 50_000
-MAX_KEPT_BYTES = 16_000_000
-MAX_KEPT_ANSWER_BYTES = 16_384
+MAX_TOTAL_ANSWER_BYTES = 16_000_000
+MAX_ANSWER_BYTES = 16_384
 MAX_KEY_BYTES = 255
 CLAIM_RETENTION_SECONDS = 3600.0
-CLOCK_SOURCES = 15
+MAX_CLOCK_SOURCES = 15
 
 
 class ClaimVerdict(StrEnum):
-    """What the log says of a keyed request."""
+    """The result of a command on a keyed request."""
 
     RUN = "run"
     JOIN = "join"
-    KEPT = "kept"
+    STORED = "kept"
     RAN = "ran"
     MAY_HAVE_RUN = "may-have-run"
     OTHER_BODY = "other-body"
@@ -43,7 +43,7 @@
 
 
 class ClaimAnswer(Struct, frozen=True, array_like=True):
-    """A complete answer that is kept for resends."""
+    """A complete answer that is stored for resends."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -51,7 +51,7 @@
 
 
 class Claim(Struct, frozen=True, tag=True):
-    """Give this key to the owner, unless someone has it."""
+    """Requests that the owner gets the key, unless the key is claimed already."""
 
     customer_id: str
     idempotency_key: str
@@ -61,9 +61,9 @@
 
 
 class TakeOver(Struct, frozen=True, tag=True):
-    """Give a claim to a new owner, if it is still the claim that was seen.
+    """Requests that a claim passes to a new owner, if its index is unchanged.
 
-    A router may ask for this in two cases only: the old owner says that it
+    A router may request this in two cases only: the old owner reports that it
     never started the request, or the request is repeatable.
     """
 
@@ -75,10 +75,10 @@
 
 
 class Completion(Struct, frozen=True, tag=True):
-    """The request came to its end.
+    """Reports the end of a claimed request.
 
-    ``answer`` None says that the owner keeps it, if anyone. ``certain`` False
-    says that it may have run, and that no answer will come any more.
+    ``answer`` is None if only the owner can have the answer. ``certain`` is False
+    if the request may have run and no answer will follow.
     """
 
     customer_id: str
@@ -90,7 +90,7 @@
 
 
 class ClaimRelease(Struct, frozen=True, tag="Release"):
-    """Provably nothing was run under this claim; forget it."""
+    """Requests the removal of a claim under which provably nothing was run."""
 
     customer_id: str
     idempotency_key: str
@@ -99,7 +99,7 @@
 
 
 class ClaimReply(Struct, frozen=True):
-    """The log's answer to a command; ``claim_index`` names the claim."""
+    """The result of a command; ``claim_index`` identifies the claim."""
 
     verdict: ClaimVerdict
     claim_index: int = 0
@@ -139,7 +139,7 @@
 
 
 def decode_claim_reply(encoded: bytes) -> ClaimReply:
-    """Return the machine's answer; bytes that are none count as malformed."""
+    """Decode a reply; bytes that are not a reply give the verdict ``MALFORMED``."""
     try:
         return _reply_decoder.decode(encoded)
     except (DecodeError, ValidationError):
@@ -149,28 +149,31 @@
 class ClaimsMachine:
     """All claims of the fleet, the same on every replica.
 
-    The present time is the lower median of what the routers that spoke last said.
-    One router whose clock is a day ahead would otherwise expire every claim at
-    once, and the resends of that hour would run a second time.
+    The present time is the lower median of the latest clock readings of the routers
+    that sent commands most recently. Otherwise one router whose clock is a day ahead
+    would expire every claim at once, and the resends of that hour would run a
+    second time.
 
     Args:
         max_claims: Bound on the rows.
-        max_kept_bytes: Bound on the answers kept in the log.
+        max_total_answer_bytes: Bound on all answers stored in the log together.
     """
 
     name = "claims"
 
     def __init__(
-        self, max_claims: int = MAX_CLAIMS, max_kept_bytes: int = MAX_KEPT_BYTES
+        self,
+        max_claims: int = MAX_CLAIMS,
+        max_total_answer_bytes: int = MAX_TOTAL_ANSWER_BYTES,
     ) -> None:
         self._max_claims = max_claims
-        self._max_kept_bytes = max_kept_bytes
-        # Rows stand in the order of their claim index, so the oldest is first.
+        self._max_total_answer_bytes = max_total_answer_bytes
+        # Rows are in the order of their claim index, so the oldest is first.
         self._rows: dict[tuple[str, str], _ClaimRow] = {}
-        self._rows_of: dict[str, int] = {}
-        self._kept_bytes_of: dict[str, int] = {}
+        self._row_counts: dict[str, int] = {}
+        self._stored_bytes_of: dict[str, int] = {}
         self._clocks: dict[str, float] = {}
-        self._kept_bytes = 0
+        self._stored_bytes = 0
         self._now_seconds = 0.0
 
     def __len__(self) -> int:
@@ -178,14 +181,14 @@
 
     @property
     def now_seconds(self) -> float:
-        """The machine's own time, which only grows."""
+        """The time of the state machine in seconds, which never decreases."""
         return self._now_seconds
 
     def apply(self, index: int, command: bytes) -> bytes:
         """Apply one committed command.
 
         Args:
-            index: Its place in the log, which becomes the claim's index.
+            index: Its index in the log, which becomes the index of a new claim.
             command: An encoded `ClaimCommand`.
 
         Returns:
@@ -198,7 +201,7 @@
         return _encoder.encode(self._apply(index, decoded))
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the whole state, encoded."""
         return _encoder.encode(
             _ClaimsSnapshot(
                 now_seconds=self._now_seconds,
@@ -208,7 +211,7 @@
         )
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace the whole state by that of a snapshot."""
+        """Replace the whole state with that of a snapshot."""
         state = _snapshot_decoder.decode(snapshot)
         self._clear()
         self._now_seconds = state.now_seconds
@@ -218,19 +221,19 @@
 
     def _clear(self) -> None:
         self._rows.clear()
-        self._rows_of.clear()
-        self._kept_bytes_of.clear()
+        self._row_counts.clear()
+        self._stored_bytes_of.clear()
         self._clocks.clear()
-        self._kept_bytes = 0
+        self._stored_bytes = 0
         self._now_seconds = 0.0
 
     def _apply(self, index: int, command: ClaimCommand) -> ClaimReply:
         if isinstance(command, Claim):
-            self._hear_clock(command.owner.router_id, command.at_seconds)
+            self._record_clock(command.owner.router_id, command.at_seconds)
             return self._claim(index, command)
         row = self._rows.get((command.customer_id, command.idempotency_key))
         if isinstance(command, TakeOver):
-            self._hear_clock(command.owner.router_id, command.at_seconds)
+            self._record_clock(command.owner.router_id, command.at_seconds)
             return self._take_over(index, command, row)
         if row is None or row.claim_index != command.claim_index:
             return ClaimReply(verdict=ClaimVerdict.SUPERSEDED)
@@ -241,13 +244,13 @@
     def _claim(self, index: int, command: Claim) -> ClaimReply:
         row = self._rows.get((command.customer_id, command.idempotency_key))
         if row is not None:
-            return _reply_of_row(row, command.body_digest, command.owner)
+            return _make_row_reply(row, command.body_digest, command.owner)
         if len(command.idempotency_key.encode()) > MAX_KEY_BYTES:
             return ClaimReply(verdict=ClaimVerdict.MALFORMED)
-        # A customer may hold as many claims as are still free. So a flood of
-        # keys by one takes half of the table at most, and never the last row.
+        # A customer may hold as many claims as there are free rows. One customer's
+        # burst of keys thus takes at most half of the table, never the last row.
         free = self._max_claims - len(self._rows)
-        if self._rows_of.get(command.customer_id, 0) >= free:
+        if self._row_counts.get(command.customer_id, 0) >= free:
             return ClaimReply(verdict=ClaimVerdict.FULL)
         row = _ClaimRow(
             customer_id=command.customer_id,
@@ -266,7 +269,7 @@
         if row is None:
             return ClaimReply(verdict=ClaimVerdict.SUPERSEDED)
         if row.completed or row.claim_index != command.seen_claim_index:
-            return _reply_of_row(row, row.body_digest, command.owner)
+            return _make_row_reply(row, row.body_digest, command.owner)
         self._remove(row)
         row = replace(
             row,
@@ -283,37 +286,40 @@
         completed = replace(
             row, completed=True, answer=command.answer, certain=command.certain
         )
-        kept = self._keep_answer(completed)
-        self._rows[(row.customer_id, row.idempotency_key)] = kept
+        stored = self._store_answer(completed)
+        self._rows[(row.customer_id, row.idempotency_key)] = stored
         return ClaimReply(ClaimVerdict.DONE, claim_index=row.claim_index)
 
-    def _keep_answer(self, row: _ClaimRow) -> _ClaimRow:
-        """Count a row's answer, or leave it to the owner's memory."""
-        size = _answer_bytes(row.answer)
-        free = self._max_kept_bytes - self._kept_bytes
-        held = self._kept_bytes_of.get(row.customer_id, 0)
-        if size > MAX_KEPT_ANSWER_BYTES or held + size > free:
+    def _store_answer(self, row: _ClaimRow) -> _ClaimRow:
+        """Add an answer to the stored bytes, or drop it where it exceeds the bounds.
+
+        The owner may still have a dropped answer in memory.
+        """
+        size = _count_answer_bytes(row.answer)
+        free = self._max_total_answer_bytes - self._stored_bytes
+        customer_bytes = self._stored_bytes_of.get(row.customer_id, 0)
+        if size > MAX_ANSWER_BYTES or customer_bytes + size > free:
             return replace(row, answer=None)
-        self._count_bytes(row.customer_id, size)
+        self._add_stored_bytes(row.customer_id, size)
         return row
 
     def _release(self, row: _ClaimRow) -> ClaimReply:
-        # A completed request ran; a late release of it must not let it run again.
+        # A completed request ran; a late release must not allow a second run.
         if row.completed:
             return ClaimReply(verdict=ClaimVerdict.SUPERSEDED)
         self._remove(row)
         return ClaimReply(ClaimVerdict.DONE, claim_index=row.claim_index)
 
-    def _hear_clock(self, router_id: str, at_seconds: float) -> None:
+    def _record_clock(self, router_id: str, at_seconds: float) -> None:
         self._clocks.pop(router_id, None)
         self._clocks[router_id] = at_seconds
-        while len(self._clocks) > CLOCK_SOURCES:
+        while len(self._clocks) > MAX_CLOCK_SOURCES:
             self._clocks.pop(next(iter(self._clocks)))
         times = sorted(self._clocks.values())
         self._now_seconds = max(self._now_seconds, times[(len(times) - 1) // 2])
-        self._expire()
+        self._remove_expired()
 
-    def _expire(self) -> None:
+    def _remove_expired(self) -> None:
         while self._rows:
             oldest = next(iter(self._rows.values()))
             if self._now_seconds - oldest.claimed_at_seconds < CLAIM_RETENTION_SECONDS:
@@ -322,49 +328,51 @@
 
     def _put(self, row: _ClaimRow) -> None:
         self._rows[(row.customer_id, row.idempotency_key)] = row
-        self._rows_of[row.customer_id] = self._rows_of.get(row.customer_id, 0) + 1
-        self._count_bytes(row.customer_id, _answer_bytes(row.answer))
+        self._row_counts[row.customer_id] = self._row_counts.get(row.customer_id, 0) + 1
+        self._add_stored_bytes(row.customer_id, _count_answer_bytes(row.answer))
 
     def _remove(self, row: _ClaimRow) -> None:
         del self._rows[(row.customer_id, row.idempotency_key)]
-        self._rows_of[row.customer_id] -= 1
-        if not self._rows_of[row.customer_id]:
-            del self._rows_of[row.customer_id]
-        self._count_bytes(row.customer_id, -_answer_bytes(row.answer))
-
-    def _count_bytes(self, customer_id: str, size: int) -> None:
-        self._kept_bytes += size
-        held = self._kept_bytes_of.pop(customer_id, 0) + size
-        if held:
-            self._kept_bytes_of[customer_id] = held
-
-
-def _reply_of_row(row: _ClaimRow, body_digest: bytes, owner: ClaimOwner) -> ClaimReply:
-    """Return what a resend hears of a claim that stands."""
+        self._row_counts[row.customer_id] -= 1
+        if not self._row_counts[row.customer_id]:
+            del self._row_counts[row.customer_id]
+        self._add_stored_bytes(row.customer_id, -_count_answer_bytes(row.answer))
+
+    def _add_stored_bytes(self, customer_id: str, size: int) -> None:
+        self._stored_bytes += size
+        customer_bytes = self._stored_bytes_of.pop(customer_id, 0) + size
+        if customer_bytes:
+            self._stored_bytes_of[customer_id] = customer_bytes
+
+
+def _make_row_reply(
+    row: _ClaimRow, body_digest: bytes, owner: ClaimOwner
+) -> ClaimReply:
+    """Return the reply to a claim on a key that is claimed already."""
     if row.body_digest != body_digest:
         return ClaimReply(verdict=ClaimVerdict.OTHER_BODY)
     verdict = ClaimVerdict.JOIN
     if row.owner == owner and not row.completed:
-        # The owner's own command, proposed again after a lost answer.
+        # The owner proposed its own command again after a lost reply.
         verdict = ClaimVerdict.RUN
     elif row.completed:
-        verdict = _verdict_of_completed(row)
+        verdict = _find_completed_verdict(row)
     return ClaimReply(verdict, row.claim_index, row.owner, row.answer)
 
 
-def _verdict_of_completed(row: _ClaimRow) -> ClaimVerdict:
+def _find_completed_verdict(row: _ClaimRow) -> ClaimVerdict:
     if not row.certain:
         return ClaimVerdict.MAY_HAVE_RUN
-    return ClaimVerdict.RAN if row.answer is None else ClaimVerdict.KEPT
+    return ClaimVerdict.RAN if row.answer is None else ClaimVerdict.STORED
 
 
-def small_answer(answer: ClaimAnswer | None) -> ClaimAnswer | None:
-    """Return an answer if it is small enough to be kept in the log, or None."""
-    return answer if _answer_bytes(answer) <= MAX_KEPT_ANSWER_BYTES else None
+def drop_large_answer(answer: ClaimAnswer | None) -> ClaimAnswer | None:
+    """Return an answer that is small enough for the log, or None."""
+    return answer if _count_answer_bytes(answer) <= MAX_ANSWER_BYTES else None
 
 
-def _answer_bytes(answer: ClaimAnswer | None) -> int:
-    """Return what an answer takes of the bound on kept bytes."""
+def _count_answer_bytes(answer: ClaimAnswer | None) -> int:
+    """Return the bytes that an answer counts towards the bound on stored bytes."""
     if answer is None:
         return 0
     headers = sum(len(name) + len(value) for name, value in answer.headers)
--- a/sesameford/errors.py
+++ b/sesameford/errors.py
@@ -1,18 +1,18 @@
-"""The exception tree: each layer has its own branch and turns those from below."""
+"""The exception hierarchy: each layer converts the errors of the layer below."""
 
 
 class SesamefordError(Exception):
-    """Base of every error that this project raises on purpose."""
+    """Base class of all errors that this project raises."""
 
 
 class SettingsError(SesamefordError):
-    """The daemon's settings file is unusable.
+    """The daemon's settings file is invalid.
 
     Args:
-        source: The file that holds the fault.
+        source: The file with the invalid field.
         path: The path of the field, such as ``listen.callers.port``.
-        found: What was found there.
-        allowed: What would be accepted.
+        found: A description of the invalid value.
+        allowed: A description of the allowed values.
     """
 
     def __init__(self, source: str, path: str, found: str, allowed: str) -> None:
@@ -24,7 +24,7 @@
 
 
 class TreeError(SettingsError):
-    """A declared tree of settings is unusable; nothing of it is taken over."""
+    """A declared tree of settings is invalid; no part of it is applied."""
 
 
 class OutcomeError(SesamefordError):
@@ -38,7 +38,7 @@
         reason: A short, stable word for programs, such as ``queue-full``.
         detail: A sentence for people.
         status: The HTTP status code for the caller.
-        retry_after_seconds: When a new try makes sense, where that is known.
+        retry_after_seconds: Seconds until a retry makes sense, or None if unknown.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
 
 
 class UnknownOutcomeError(OutcomeError):
-    """The request may have run; its answer is lost or cut.
+    """The request may have run; its answer is lost or incomplete.
 
     Args:
         reason: A short, stable word for programs, such as ``target-lost``.
@@ -72,28 +72,28 @@
 
 
 class PeerError(SesamefordError):
-    """A message between instances could not be read, sent or trusted."""
+    """A message between instances could not be decoded, sent or authenticated."""
 
 
 class LogError(SesamefordError):
-    """The replicated log refuses or fails."""
+    """The replicated log refused a command or failed."""
 
 
 class NoQuorumError(LogError):
-    """No majority of replicas answers, so nothing can be agreed."""
+    """No majority of replicas answers, so no command can be committed."""
 
 
 class ProposalRefusedError(LogError):
-    """A proposal can never be accepted, such as under an id used before."""
+    """A proposal can never be accepted, for example because its id was used before."""
 
 
 class StorageError(LogError):
-    """The data folder can't be trusted or written.
+    """The data folder is corrupt or can't be written.
 
     Args:
         file: The file with the fault.
-        offset_bytes: Where in the file.
-        detail: What is wrong there.
+        offset_bytes: The offset of the fault in the file.
+        detail: A description of the fault.
     """
 
     def __init__(self, file: str, offset_bytes: int, detail: str) -> None:
@@ -108,7 +108,7 @@
 
     Args:
         detail: A sentence for people.
-        failure: How it failed, a word of `sesameford.retries.Failure`.
+        failure: The kind of failure, a value of `sesameford.retries.Failure`.
     """
 
     def __init__(self, detail: str, failure: str = "") -> None:
@@ -121,4 +121,4 @@
 
 
 class TargetLostError(TargetError):
-    """The exchange with the target broke after the request was sent."""
+    """The connection to the target failed after the request was sent."""
--- a/sesameford/proposals.py
+++ b/sesameford/proposals.py
@@ -1,8 +1,8 @@
-"""Which proposals were accepted and what their first answer was.
+"""The accepted proposals and their first answers, which make resends idempotent.
 
-A proposer that lost its answer sends the proposal again under the same id, to
-another leader perhaps, or after restarts. The table stands in each snapshot, so
-every replica, also one that caught up by snapshot, recognises it.
+A proposer that lost its answer sends the proposal again under the same id,
+possibly to another leader or after restarts. The table is part of each snapshot,
+so every replica recognises the id, even one that caught up by a snapshot.
 """
 
 from msgspec import DecodeError, Struct, ValidationError
@@ -11,9 +11,9 @@
 
 from sesameford.errors import LogError
 
-# Resends come within seconds; at 200 proposals a second this is over a minute.
-KEPT_PROPOSALS = 16_384
-KEPT_ANSWER_BYTES = 4_000_000
+# Resends follow within seconds; at 200 proposals a second this covers over a minute.
+MAX_PROPOSALS = 16_384
+MAX_ANSWER_BYTES = 4_000_000
 
 
 class AcceptedProposal(Struct, frozen=True, array_like=True):
@@ -33,17 +33,17 @@
     """The newest accepted proposals, bounded by number and by bytes of answers.
 
     Args:
-        kept_proposals: How many are remembered.
-        kept_answer_bytes: How many bytes their answers may take together.
+        max_proposals: Bound on the number of proposals.
+        max_answer_bytes: Bound on the bytes of their answers together.
     """
 
     def __init__(
         self,
-        kept_proposals: int = KEPT_PROPOSALS,
-        kept_answer_bytes: int = KEPT_ANSWER_BYTES,
+        max_proposals: int = MAX_PROPOSALS,
+        max_answer_bytes: int = MAX_ANSWER_BYTES,
     ) -> None:
-        self._kept_proposals = kept_proposals
-        self._kept_answer_bytes = kept_answer_bytes
+        self._max_proposals = max_proposals
+        self._max_answer_bytes = max_answer_bytes
         self._rows: dict[str, AcceptedProposal] = {}
         self._answer_bytes = 0
 
@@ -55,12 +55,12 @@
         return self._rows.get(proposal_id)
 
     def add(self, row: AcceptedProposal) -> None:
-        """Remember an acceptance, and forget the oldest above the bounds."""
+        """Add an acceptance, and remove the oldest ones above the bounds."""
         self._rows[row.proposal_id] = row
         self._answer_bytes += len(row.answer)
         while len(self._rows) > 1 and (
-            len(self._rows) > self._kept_proposals
-            or self._answer_bytes > self._kept_answer_bytes
+            len(self._rows) > self._max_proposals
+            or self._answer_bytes > self._max_answer_bytes
         ):
             oldest = self._rows.pop(next(iter(self._rows)))
             self._answer_bytes -= len(oldest.answer)
@@ -70,10 +70,10 @@
         return _encoder.encode(list(self._rows.values()))
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace all rows by those of a snapshot.
+        """Replace all rows with those of a snapshot.
 
         Raises:
-            LogError: The bytes are no snapshot of this table.
+            LogError: The bytes are not a snapshot of this table.
         """
         try:
             rows = _decoder.decode(snapshot)
@@ -86,5 +86,5 @@
 
 
 def command_digest(machine: str, command: bytes) -> int:
-    """Return a digest that tells one command from another under the same id."""
+    """Return a digest that distinguishes commands under the same proposal id."""
     return xxh3_64_intdigest(machine.encode() + b"\0" + command)
--- a/sesameford/tables.py
+++ b/sesameford/tables.py
@@ -1,8 +1,7 @@
 """Entities of a router and the tables that hold them.
 
-Rows are frozen; a change puts a new row in place of the old one. Deciding
-modules read tables and return decisions; they do no I/O and take the present
-time as an argument.
+Rows are frozen; a change replaces the row. Modules that make decisions read tables
+and return decisions; they do no I/O and take the present time as an argument.
 """
 
 from collections.abc import Iterator
@@ -15,7 +14,7 @@
 
 
 class Table(Generic[Key, Row]):
-    """Rows of one kind of entity by their key."""
+    """The rows of one kind of entity, by key."""
 
     def __init__(self) -> None:
         self._rows: dict[Key, Row] = {}
@@ -43,14 +42,14 @@
 
 
 class TargetKind(StrEnum):
-    """What stands behind a target's address."""
+    """The kind of server at a target's address."""
 
     MODEL = "model"
     SERVICE = "service"
 
 
 class Outcome(StrEnum):
-    """What a caller is told of its request; there is no fourth."""
+    """The outcome of a request as reported to its caller: one of exactly three."""
 
     RAN = "ran"
     NOT_RUN = "not-run"
@@ -58,7 +57,7 @@
 
 
 class TargetState(StrEnum):
-    """What a target says of itself in its heartbeats."""
+    """The state that a target reports in its heartbeats."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -66,7 +65,7 @@
 
 
 class InstanceState(StrEnum):
-    """Where an instance stands between start and stop."""
+    """The state of an instance between start and stop."""
 
     STARTING = "starting"
     READY = "ready"
@@ -77,8 +76,9 @@
 class Target:
     """One incarnation of a target that announced itself.
 
-    ``lease_expires_at_seconds`` is on the holding router's own clock.
-    ``capacity_slots`` is what the target says it runs at once.
+    ``lease_expires_at_seconds`` is on the clock of the router that holds this row.
+    ``capacity_slots`` is the number of requests that the target reports it can run
+    at once.
     """
 
     target_id: str
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceRow:
-    """What is known of another instance of the system."""
+    """The latest state of another instance of the system."""
 
     instance_id: str
     incarnation: int
@@ -108,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a request has used so far; totals, never increments."""
+    """The resources used by a request so far, as totals, never increments."""
 
     prompt_tokens: int = 0
     cached_prompt_tokens: int = 0
@@ -118,11 +118,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A caller's request as the deciding modules see it.
+    """The parts of a caller's request on which decisions are made.
 
     ``resource`` is the name of the model or service. ``repeatable`` is False
     for a request that may run at most once. ``body_digest`` identifies the
-    work across resends. ``hint_cost_units`` is the caller's rough word.
+    work across resends. ``hint_cost_units`` is the caller's rough estimate.
     """
 
     request_id: str
@@ -142,9 +142,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """One sending of a request to one incarnation of a target.
+    """One attempt to run a request on one incarnation of a target.
 
-    ``alone`` asks the router to run nothing else on that target meanwhile.
+    With ``alone`` the router runs nothing else on that target at the same time.
     """
 
     attempt_id: str
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -44,7 +44,7 @@
     assert joined.owner == owner()
     apply(machine, 7, Completion("c", "k", 5, ANSWER, 1.0))
     kept = apply(machine, 8, claim(request="r3", router="y"))
-    assert (kept.verdict, kept.answer) == (ClaimVerdict.KEPT, ANSWER)
+    assert (kept.verdict, kept.answer) == (ClaimVerdict.STORED, ANSWER)
 
 
 def test_the_same_key_with_another_body_is_refused():
@@ -108,13 +108,13 @@
 
 
 def test_large_answers_stay_with_their_router():
-    machine = ClaimsMachine(max_kept_bytes=10_000)
+    machine = ClaimsMachine(max_total_answer_bytes=10_000)
     apply(machine, 1, claim())
     big = ClaimAnswer(200, (), b"x" * 9_000)
     apply(machine, 2, Completion("c", "k", 1, big, 0.0))
     apply(machine, 3, claim("k2", "r2"))
     apply(machine, 4, Completion("c", "k2", 3, big, 0.0))
-    assert apply(machine, 5, claim(request="r5")).verdict is ClaimVerdict.KEPT
+    assert apply(machine, 5, claim(request="r5")).verdict is ClaimVerdict.STORED
     assert apply(machine, 6, claim("k2", "r6")).verdict is ClaimVerdict.RAN
 
 
