--- a/sesameford/caller_stream.py
+++ b/sesameford/caller_stream.py
@@ -1,4 +1,4 @@
-"""The caller's end of a request: its stream, and what is kept of it."""
+"""The response stream to a caller, and its copy for resends."""
 
 from asyncio import sleep, timeout
 from collections.abc import Awaitable
@@ -14,32 +14,32 @@
 from sesameford.silence import CALLER_HEARTBEAT_SECONDS, CALLER_STALL_SECONDS
 from sesameford.tables import Outcome
 
-MAX_KEPT_STREAM_BYTES = 4_000_000
-COMMENT = b": still working\n\n"
+MAX_STORED_STREAM_BYTES = 4_000_000
+KEEP_ALIVE_COMMENT = b": still working\n\n"
 STREAM_TYPE = "text/event-stream"
 
 
 class CallerDisconnectedError(Exception):
-    """The caller closed its connection."""
+    """The caller closed its connection or stopped reading."""
 
 
 class CallerStream:
-    """Writes events to a caller, who may go away.
+    """Writes events to a caller, which may disconnect.
 
     Args:
         http: The caller's request.
-        request_id: For the answer's headers.
-        keeps: Whether the request goes on without its caller, who holds an
-            idempotency key and may come back for the answer.
+        request_id: The request id for the response headers.
+        stores_answer: Whether the request continues after its caller disconnects.
+            A caller with an idempotency key may fetch the answer later.
     """
 
-    def __init__(self, http: HttpRequest, request_id: str, keeps: bool) -> None:
+    def __init__(self, http: HttpRequest, request_id: str, stores_answer: bool) -> None:
         self._http = http
-        self._keeps = keeps
-        self._gone = False
+        self._stores_answer = stores_answer
+        self._is_disconnected = False
         self._is_idle = False
-        self._kept: list[bytes] = []
-        self._kept_bytes = 0
+        self._stored_chunks: list[bytes] = []
+        self._stored_bytes = 0
         self._writing_since_seconds: float | None = None
         self.started = False
         self.outcome = Outcome.RAN
@@ -52,50 +52,50 @@
         )
 
     async def write(self, data: bytes) -> None:
-        """Pass events on.
+        """Write events to the caller and store them for resends.
 
         Raises:
-            CallerDisconnectedError: Nobody reads them, and nobody will.
+            CallerDisconnectedError: The caller disconnected and no answer is stored.
         """
-        if self._keeps and self._kept_bytes <= MAX_KEPT_STREAM_BYTES:
-            self._kept.append(data)
-            self._kept_bytes += len(data)
+        if self._stores_answer and self._stored_bytes <= MAX_STORED_STREAM_BYTES:
+            self._stored_chunks.append(data)
+            self._stored_bytes += len(data)
         if not self.started:
             self.started = True
-            await self._to_caller(self._stream.prepare(self._http))
+            await self._write_to_caller(self._stream.prepare(self._http))
         self._is_idle = False
-        if self._gone:
-            await self._to_caller(self._stream.write(data))
+        if self._is_disconnected:
+            await self._write_to_caller(self._stream.write(data))
             return
-        # No timeout of its own: it would be set and taken back for every few tokens.
-        # The heartbeat looks for how long this write has waited.
+        # No timeout here: it would be set and cancelled for every few tokens.
+        # ``keep_alive`` checks how long this write has waited.
         self._writing_since_seconds = monotonic()
         try:
             await self._stream.write(data)
         except (ConnectionError, ClientError) as error:
-            self._gone = True
-            if not self._keeps:
+            self._is_disconnected = True
+            if not self._stores_answer:
                 raise CallerDisconnectedError from error
         finally:
             self._writing_since_seconds = None
 
     async def keep_alive(self) -> None:
-        """Send comments while no events come, until cancelled.
+        """Send a comment whenever the stream is idle, until cancelled.
 
-        A caller can't tell an engine that thinks from a connection that went silent
-        for good. With a sign of life every few seconds it can give up and resend.
+        Without comments a caller can't distinguish a slow engine from a dead
+        connection. With one every few seconds it can time out and resend.
         """
-        while not self._gone:
+        while not self._is_disconnected:
             self._is_idle = True
             await sleep(CALLER_HEARTBEAT_SECONDS)
-            self._drop_stalled()
+            self._abort_stalled()
             if self.started and self._is_idle:
-                # The stream's own writer meets the same and ends the request.
+                # ``write`` gets the same error and ends the request.
                 with suppress(CallerDisconnectedError):
-                    await self._to_caller(self._stream.write(COMMENT))
+                    await self._write_to_caller(self._stream.write(KEEP_ALIVE_COMMENT))
 
-    def _drop_stalled(self) -> None:
-        """Break the connection of a caller that has taken nothing for too long."""
+    def _abort_stalled(self) -> None:
+        """Abort the connection of a caller that has read nothing for too long."""
         since_seconds = self._writing_since_seconds
         if since_seconds is None or self._http.transport is None:
             return
@@ -103,39 +103,39 @@
             self._http.transport.abort()
 
     async def end(self) -> StreamResponse:
-        """End a whole stream."""
-        await self._to_caller(self._stream.write_eof())
+        """End a complete stream."""
+        await self._write_to_caller(self._stream.write_eof())
         return self._stream
 
-    async def cut(self, reason: str, detail: str) -> StreamResponse:
-        """End a stream that can't go on, and say so in the stream itself."""
+    async def end_with_error(self, reason: str, detail: str) -> StreamResponse:
+        """End an incomplete stream with an error event."""
         self.outcome = Outcome.UNKNOWN
         self._stream[OUTCOME_KEY] = Outcome.UNKNOWN
         problem = problem_body(502, reason, detail)
-        await self._to_caller(
+        await self._write_to_caller(
             self._stream.write(b"event: error\ndata: " + problem + b"\n\n")
         )
-        await self._to_caller(self._stream.write_eof())
+        await self._write_to_caller(self._stream.write_eof())
         return self._stream
 
     def stored_answer(self) -> ClaimAnswer | None:
-        """Return the whole stream for resends, unless it is too large."""
-        if self._kept_bytes > MAX_KEPT_STREAM_BYTES:
+        """Return the whole stream as an answer for resends, or None if too large."""
+        if self._stored_bytes > MAX_STORED_STREAM_BYTES:
             return None
         headers = (("Content-Type", STREAM_TYPE),)
-        return ClaimAnswer(200, headers, b"".join(self._kept))
+        return ClaimAnswer(200, headers, b"".join(self._stored_chunks))
 
-    async def _to_caller(self, writing: Awaitable[object]) -> None:
-        if self._gone:
-            # Never awaited, so it is closed lest Python warn of it.
+    async def _write_to_caller(self, writing: Awaitable[object]) -> None:
+        if self._is_disconnected:
+            # Closed because Python warns of a coroutine that is never awaited.
             getattr(writing, "close", lambda: None)()
-            if not self._keeps:
+            if not self._stores_answer:
                 raise CallerDisconnectedError
             return
         try:
             async with timeout(CALLER_STALL_SECONDS):
                 await writing
         except (ConnectionError, ClientError, TimeoutError) as error:
-            self._gone = True
-            if not self._keeps:
+            self._is_disconnected = True
+            if not self._stores_answer:
                 raise CallerDisconnectedError from error
--- a/sesameford/completion_run.py
+++ b/sesameford/completion_run.py
@@ -135,7 +135,7 @@
         settle(run.deps, run.call, run.attempt, _usage(run), Outcome.UNKNOWN)
         run.deps.spawn(_cancel(run))
         await run.deps.check_target_after_failure(run.attempt, run.target, error)
-        return await caller.cut("answer-cut", str(error))
+        return await caller.end_with_error("answer-cut", str(error))
     finally:
         heartbeat.cancel()
     settle(run.deps, run.call, run.attempt, _usage(run), Outcome.RAN)
--- a/sesameford/relay.py
+++ b/sesameford/relay.py
@@ -51,7 +51,7 @@
     """
     keyed = deps.outcomes.keyed
     if keyed is None or call.request.idempotency_key is None:
-        caller = CallerStream(http, call.request.request_id, keeps=False)
+        caller = CallerStream(http, call.request.request_id, stores_answer=False)
         deps.outcomes.open_requests += 1
         try:
             return await _run_to_outcome(deps, call, caller)
@@ -89,7 +89,7 @@
 ) -> StreamResponse:
     """Serve a request with an idempotency key."""
     result = _FirstCallerResult()
-    caller = CallerStream(http, call.request.request_id, keeps=True)
+    caller = CallerStream(http, call.request.request_id, stores_answer=True)
 
     async def run() -> RunEnd:
         try:
