--- a/sesameford/callers.py
+++ b/sesameford/callers.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface: keys, bodies and errors."""
+"""The callers' HTTP interface: authentication, request bodies and errors."""
 
 import asyncio
 import logging
@@ -42,10 +42,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CallersDeps:
-    """What the callers' interface needs.
+    """The dependencies of the callers' interface.
 
-    ``is_ready`` answers the platform's balancer; ``is_open`` is False once new
-    requests are no longer taken. A body must have come within its timeout.
+    ``is_ready`` is the readiness for the platform's balancer; ``is_open`` is False
+    once new requests are no longer accepted. A body must arrive within
+    ``body_timeout_seconds``.
     """
 
     relay: RelayDeps
@@ -60,13 +61,15 @@
 def make_callers_app(deps: CallersDeps, body_limit_bytes: int) -> web.Application:
     """Return the application for the callers' port."""
     app = web.Application(client_max_size=body_limit_bytes)
-    handler = _make_handler(deps)
-    app.router.add_post("/v1/completions", handler(_completion_call))
-    app.router.add_post("/v1/chat/completions", handler(_completion_call))
-    app.router.add_get("/v1/models", _make_models(deps))
-    app.router.add_route("*", "/services/{service}/{path:.*}", handler(_service_call))
+    handler = _make_handler_factory(deps)
+    app.router.add_post("/v1/completions", handler(_read_completion_call))
+    app.router.add_post("/v1/chat/completions", handler(_read_completion_call))
+    app.router.add_get("/v1/models", _make_models_handler(deps))
+    app.router.add_route(
+        "*", "/services/{service}/{path:.*}", handler(_read_service_call)
+    )
     app.router.add_get("/healthz", _healthz)
-    app.router.add_get("/readyz", _make_readyz(deps))
+    app.router.add_get("/readyz", _make_readyz_handler(deps))
     app.router.add_get(
         "/metrics", make_metrics_handler(deps.relay.router.metrics.registry)
     )
@@ -76,11 +79,11 @@
 ReadCall = Callable[[CallersDeps, web.Request, str], Awaitable[Call]]
 
 
-def _make_handler(deps: CallersDeps) -> Callable[[ReadCall], Handler]:
-    """Return what turns a reader of calls into an aiohttp handler."""
+def _make_handler_factory(deps: CallersDeps) -> Callable[[ReadCall], Handler]:
+    """Return a function that makes an aiohttp handler from a reader of calls."""
     numbers = count(1)
 
-    def make(read_call: ReadCall) -> Handler:
+    def make_handler(read_call: ReadCall) -> Handler:
         async def handle(http: web.Request) -> web.StreamResponse:
             request_id = f"{deps.instance_id}-{deps.incarnation:x}-{next(numbers)}"
             log_context.set({"request": request_id})
@@ -89,17 +92,17 @@
                 span.set_attribute("request", request_id)
                 trace_id = format(span.get_span_context().trace_id, "032x")
                 log_context.set({"request": request_id, "trace": trace_id})
-                return await _answer(deps, read_call, http, request_id)
+                return await _handle_call(deps, read_call, http, request_id)
 
         return handle
 
-    return make
+    return make_handler
 
 
-async def _answer(
+async def _handle_call(
     deps: CallersDeps, read_call: ReadCall, http: web.Request, request_id: str
 ) -> web.StreamResponse:
-    """Serve one request and turn errors into answers."""
+    """Serve one request and convert errors to responses."""
     metrics = deps.relay.router.metrics
     customer = "unknown"
     try:
@@ -120,14 +123,14 @@
     return response
 
 
-def find_customer(router: Router, http: web.Request) -> CustomerSettings:
-    """Return the customer whose key a request bears.
+def authenticate_customer(router: Router, http: web.Request) -> CustomerSettings:
+    """Return the customer that a request's bearer key belongs to.
 
-    Keys are compared by their digest: how long the look-up takes says nothing of a
-    key, because nobody can choose a key by parts of its digest.
+    Keys are looked up by their digest, so the look-up's duration doesn't reveal parts
+    of a key: an attacker can't choose a key by parts of its digest.
 
     Raises:
-        NotRunError: No key, an unknown one, or the customer is suspended.
+        NotRunError: The key is absent or unknown, or the customer is suspended.
     """
     scheme, _, key = http.headers.get("Authorization", "").partition(" ")
     if scheme.lower() != "bearer" or not key:
@@ -142,12 +145,12 @@
     return customer
 
 
-async def _completion_call(
+async def _read_completion_call(
     deps: CallersDeps, http: web.Request, request_id: str
 ) -> Call:
     """Read a completion request."""
     tree = deps.relay.router.tree
-    customer = _admit(deps, http)
+    customer = _authorize_new_call(deps, http)
     body = await _read_body(deps, http)
     parsed = _parse_object(body)
     model = parsed.get("model")
@@ -169,16 +172,18 @@
     return Call(request, "POST", http.path, dict(http.headers), body, parsed)
 
 
-async def _service_call(deps: CallersDeps, http: web.Request, request_id: str) -> Call:
+async def _read_service_call(
+    deps: CallersDeps, http: web.Request, request_id: str
+) -> Call:
     """Read a call of a plain service."""
     tree = deps.relay.router.tree
-    customer = _admit(deps, http)
+    customer = _authorize_new_call(deps, http)
     name = http.match_info["service"]
     service = tree.services.get(name)
     if service is None:
         raise NotRunError("unknown-service", f"there is no service {name!r}", 404)
-    # The raw path keeps what the caller escaped as it was; its first two parts
-    # are ours.
+    # The raw path keeps the caller's escapes. Its first two parts, ``/services`` and
+    # the name, are not sent to the service.
     path = "/" + http.raw_path.split("/", 3)[3]
     body = await _read_body(deps, http)
     request = _make_request(
@@ -195,9 +200,9 @@
     return Call(request, http.method, path, dict(http.headers), body)
 
 
-def _admit(deps: CallersDeps, http: web.Request) -> CustomerSettings:
-    """Return the caller's customer if new requests are taken here."""
-    customer = find_customer(deps.relay.router, http)
+def _authorize_new_call(deps: CallersDeps, http: web.Request) -> CustomerSettings:
+    """Return the caller's customer if this instance accepts new requests."""
+    customer = authenticate_customer(deps.relay.router, http)
     if not deps.is_open():
         raise NotRunError("stopping", "this instance is stopping", 503, 1.0)
     return customer
@@ -207,7 +212,7 @@
     """Return the whole body.
 
     Raises:
-        NotRunError: It is too large, too slow, or its length is not what was said.
+        NotRunError: It is too large, too slow or shorter than its Content-Length.
     """
     try:
         async with asyncio.timeout(deps.body_timeout_seconds):
@@ -244,10 +249,10 @@
     default_seconds: float,
     text: str = "",
 ) -> Request:
-    """Return the request as the deciding modules see it."""
+    """Return the request for the modules that make decisions."""
     now_seconds = deps.relay.now()
-    asked_seconds = _positive_number(http, DEADLINE_HEADER)
-    allowed_seconds = min(asked_seconds or default_seconds, default_seconds)
+    requested_seconds = _parse_positive_header(http, DEADLINE_HEADER)
+    allowed_seconds = min(requested_seconds or default_seconds, default_seconds)
     key = http.headers.get(KEY_HEADER)
     if key is not None and not 0 < len(key) <= MAX_KEY_CHARACTERS:
         raise NotRunError("bad-idempotency-key", "1 to 255 characters", 400)
@@ -261,7 +266,7 @@
         deadline_seconds=now_seconds + allowed_seconds,
         body_bytes=len(body),
         prompt_tokens=prompt_tokens(text) if kind is TargetKind.MODEL else 0,
-        hint_cost_units=_positive_number(http, HINT_HEADER),
+        hint_cost_units=_parse_positive_header(http, HINT_HEADER),
         repeatable=repeatable,
         body_digest=digest,
         prefix_digests=prefix_digests(customer.customer_id, text),
@@ -269,11 +274,11 @@
     )
 
 
-def _positive_number(http: web.Request, header: str) -> float | None:
-    """Return a header's number, None where it is absent.
+def _parse_positive_header(http: web.Request, header: str) -> float | None:
+    """Return a header's number, or None if the header is absent.
 
     Raises:
-        NotRunError: It is no number above zero.
+        NotRunError: The value is not a number above zero.
     """
     text = http.headers.get(header)
     if text is None:
@@ -287,13 +292,13 @@
     return number
 
 
-def _make_models(deps: CallersDeps) -> Handler:
+def _make_models_handler(deps: CallersDeps) -> Handler:
     """Return the handler that lists models."""
 
     async def models(http: web.Request) -> web.Response:
         tree = deps.relay.router.tree
         try:
-            find_customer(deps.relay.router, http)
+            authenticate_customer(deps.relay.router, http)
         except NotRunError as error:
             return not_run_response(error, "none")
         rows = [{"id": name, "object": "model"} for name in sorted(tree.models)]
@@ -304,12 +309,12 @@
 
 
 async def _healthz(http: web.Request) -> web.Response:
-    """Say that the process lives."""
+    """Answer the liveness check."""
     return web.Response(text="ok\n")
 
 
-def _make_readyz(deps: CallersDeps) -> Handler:
-    """Return the handler that tells the balancer whether to send callers here."""
+def _make_readyz_handler(deps: CallersDeps) -> Handler:
+    """Return the handler of the balancer's readiness check."""
 
     async def readyz(http: web.Request) -> web.Response:
         if deps.is_ready():
--- a/sesameford/model_adapter.py
+++ b/sesameford/model_adapter.py
@@ -1,4 +1,4 @@
-"""Speaks the completions dialect with a model engine."""
+"""Client of the completions API of a model engine."""
 
 from typing import Any
 
@@ -20,7 +20,7 @@
 
 
 def engine_body(body: dict[str, Any]) -> bytes:
-    """Return the body for the engine: always streamed, always with usage."""
+    """Return the body for the engine, which always requests a stream with usage."""
     options = body.get("stream_options")
     options = {**options} if isinstance(options, dict) else {}
     options["include_usage"] = True
@@ -35,11 +35,11 @@
     body: bytes,
     headers: dict[str, str],
 ) -> ClientResponse:
-    """Send a completion request and return the answer at its headers.
+    """Send a completion request and return the response once its headers arrived.
 
     Raises:
         TargetRefusedError: The engine provably did not start the request.
-        TargetLostError: The exchange broke; the request may have run.
+        TargetLostError: The connection failed; the request may have run.
     """
     headers = {
         **headers,
@@ -52,11 +52,11 @@
 async def resume_completion(
     session: ClientSession, target: Target, attempt: Attempt, last_event_id: int
 ) -> ClientResponse:
-    """Ask the engine for the rest of a stream, on a new connection.
+    """Request the rest of a stream from the engine, on a new connection.
 
     Raises:
         TargetRefusedError: The engine can't be reached.
-        TargetLostError: It does not know the stream or the exchange broke.
+        TargetLostError: The engine has no such stream, or the connection failed.
     """
     url = f"{target.url}/v1/streams/{attempt.attempt_id}"
     headers = {"Last-Event-ID": str(last_event_id)}
@@ -72,7 +72,7 @@
 async def cancel_completion(
     session: ClientSession, target: Target, attempt_id: str
 ) -> None:
-    """Tell the engine to stop an attempt; a failure to tell is left alone."""
+    """Request that the engine stops an attempt; failures are ignored."""
     url = f"{target.url}/v1/streams/{attempt_id}"
     try:
         async with session.delete(url):
@@ -88,12 +88,12 @@
     body: bytes | None,
     headers: dict[str, str],
 ) -> ClientResponse:
-    """Send one request and return the answer at its headers.
+    """Send one request and return the response once its headers arrived.
 
     Raises:
-        TargetRefusedError: No connection came about, or the target says that it
-            did not start the request.
-        TargetLostError: Anything else went wrong; the request may have run.
+        TargetRefusedError: The connection could not be opened, or the target reports
+            that it did not start the request.
+        TargetLostError: Any other failure; the request may have run.
     """
     try:
         response = await session.request(
--- a/sesameford/service_adapter.py
+++ b/sesameford/service_adapter.py
@@ -1,4 +1,4 @@
-"""Speaks plain HTTP with a service."""
+"""HTTP client of plain services."""
 
 from aiohttp import ClientError, ClientResponse, ClientSession
 
@@ -11,7 +11,7 @@
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE", "TRACE"})
 BODILESS_STATUSES = frozenset({204, 304})
-# Headers that belong to one connection, not to the message.
+# Headers that belong to one connection, not to the message, and are not forwarded.
 HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
@@ -33,17 +33,18 @@
     """Return whether a call may run more than once.
 
     Args:
-        service: Its routes overrule the method's default, the longest prefix first.
+        service: The settings; the route with the longest matching prefix overrides
+            the method's default.
         method: The HTTP method.
-        path: The path behind the service's name, with a leading slash.
+        path: The path after the service's name, with a leading slash.
     """
-    fitting = [
+    matching_routes = [
         route
         for route in service.routes
         if route.method in (method, "*") and path.startswith(route.path_prefix)
     ]
-    if fitting:
-        return max(fitting, key=lambda route: len(route.path_prefix)).repeatable
+    if matching_routes:
+        return max(matching_routes, key=lambda route: len(route.path_prefix)).repeatable
     return method in IDEMPOTENT_METHODS
 
 
@@ -56,11 +57,11 @@
     body: bytes,
     headers: dict[str, str],
 ) -> ClientResponse:
-    """Send a call to a service and return the answer at its headers.
+    """Send a call to a service and return the response once its headers arrived.
 
     Raises:
         TargetRefusedError: The service provably did not start the call.
-        TargetLostError: The exchange broke; the call may have run.
+        TargetLostError: The connection failed; the call may have run.
     """
     headers = {
         **{k: v for k, v in headers.items() if k.lower() not in HOP_BY_HOP_HEADERS},
@@ -70,11 +71,11 @@
 
 
 async def read_complete_body(response: ClientResponse) -> bytes:
-    """Return the body of an answer, complete or not at all.
+    """Return the body of a complete answer.
 
     Raises:
-        TargetLostError: The connection ended before the length or end mark, or the
-            head promised neither.
+        TargetLostError: The connection closed before the Content-Length or the last
+            chunk, or the head has no framing of the body.
     """
     try:
         body = await response.read()
@@ -85,11 +86,13 @@
         ) from error
     if response.method == "HEAD" or response.status in BODILESS_STATUSES:
         return body
-    # The library reads an answer without a length up to the end of the connection,
-    # and a target that dies in the middle of it ends its connection too.
+    # aiohttp reads an answer without a length up to the end of the connection, but a
+    # target that crashes in the middle of the answer also closes its connection.
     chunked = "chunked" in response.headers.get("Transfer-Encoding", "").lower()
     length = response.content_length
-    judged = judge_body(length, chunked, chunked, len(body))
-    if judged is not Completeness.COMPLETE:
-        raise TargetLostError(f"the answer is {judged.value}", Failure.ANSWER_INVALID)
+    completeness = judge_body(length, chunked, chunked, len(body))
+    if completeness is not Completeness.COMPLETE:
+        raise TargetLostError(
+            f"the answer is {completeness.value}", Failure.ANSWER_INVALID
+        )
     return body
