--- a/sesameford/early_answers.py
+++ b/sesameford/early_answers.py
@@ -1,10 +1,10 @@
-"""Deciding on a request when its head comes, before the HTTP library begins with it.
+"""Decides on a request once its head has arrived, before aiohttp handles it.
 
-The library makes two tasks, a request and a response of each request. Where most of
-them are turned away, as in a flood, that costs several times what the decision does,
-and the loop falls behind. So a whole head that comes between two requests is read
-first, and who is turned away is answered at once. All other requests go on to the
-library.
+aiohttp makes two tasks, a request object and a response object for each request. If
+most requests are refused, as during a burst, that costs several times as much as the
+decision, and the event loop falls behind. So a complete head that arrives between two
+requests is parsed first, and a refusal is sent at once. aiohttp handles all other
+requests.
 """
 
 import asyncio
@@ -20,90 +20,92 @@
 
 logger = logging.getLogger(__name__)
 
-# The library knows which answers to these have no body.
-ANSWERED_WITHOUT_BODY = ("HEAD", "CONNECT")
-# For so long the rest of a request is read that has its answer already.
+# aiohttp decides which answers to these methods have no body.
+BODILESS_ANSWER_METHODS = ("HEAD", "CONNECT")
+# The rest of a request is read for this long after its answer was sent.
 LINGER_SECONDS = 1.0
 MAX_HEADER_BYTES = 16_384
-# What is parsed at once of a request; the rest of its body is not looked at.
-PARSED_BYTES = 65_536
+# The parser's buffer limit; the rest of a body is not read for a decision.
+MAX_PARSED_BYTES = 65_536
 
 
 @dataclass(frozen=True, slots=True)
 class EarlyAnswer:
-    """A whole answer as it is sent, by whether the connection ends with it."""
+    """An encoded answer: one that keeps the connection open, and one that closes it."""
 
-    lasting: bytes
-    last: bytes
-    is_last: bool
+    keep_alive_bytes: bytes
+    closing_bytes: bytes
+    closes_connection: bool
 
 
-# Returns the answer, or what its handler is to know of a request that goes on.
+# Returns the answer, or the decision for the handler of a request that continues.
 Decide = Callable[[RawRequestMessage], EarlyAnswer | Any]
 
 
 class EarlyHandler(web.RequestHandler):
-    """The library's handler of a connection, with a decision before each request."""
+    """aiohttp's handler of a connection, with a decision before each request."""
 
-    __slots__ = ("_decide", "_decision", "_is_answered", "_is_mid_head")
+    __slots__ = ("_decide", "_decision", "_is_answered", "_is_head_incomplete")
 
     def __init__(self, manager: web.Server, decide: Decide, **kwargs: Any) -> None:
         super().__init__(manager, **kwargs)
         self._decide = decide
         self._decision: Any = None
         self._is_answered = False
-        self._is_mid_head = False
+        self._is_head_incomplete = False
 
     def pop_decision(self) -> Any:
-        """Return what was decided on the request that is handled now, or None."""
+        """Remove and return the decision on the current request, or None."""
         decision, self._decision = self._decision, None
         return decision
 
-    def receive(self, data: bytes, decision: Any) -> None:
-        """Take data with which a request begins that is left to the library.
+    def receive_first_data(self, data: bytes, decision: Any) -> None:
+        """Handle the first data of a request through aiohttp.
 
         Args:
-            data: What has come; maybe not the whole head.
-            decision: What was decided on it, None where that is left to its handler.
+            data: The received bytes; possibly not the whole head.
+            decision: The decision on the request, or None if its handler decides.
         """
         self._decision = decision
         super().data_received(data)
-        self._is_mid_head = not self._messages
+        self._is_head_incomplete = not self._messages
 
     def data_received(self, data: bytes) -> None:
-        """Answer a request at once, or pass it on to the library."""
+        """Answer a request at once, or pass it on to aiohttp."""
         if self._is_answered:
             return
         if not self._is_between_requests():
             super().data_received(data)
             if self._messages:
-                self._is_mid_head = False
+                self._is_head_incomplete = False
             return
-        head = _parse(data, self._loop)
+        head = _parse_head(data, self._loop)
         decision = None if head is None else self._decide(head.message)
         if head is None or not isinstance(decision, EarlyAnswer):
-            self.receive(data, decision)
+            self.receive_first_data(data, decision)
             return
         self._next_keepalive_close_time = self._loop.time() + self._keepalive_timeout
         assert self.transport is not None
-        is_last = decision.is_last or head.message.should_close
-        is_last |= not head.has_whole_body
-        self.transport.write(decision.last if is_last else decision.lasting)
-        if is_last:
+        closes_connection = decision.closes_connection or head.message.should_close
+        closes_connection |= not head.has_whole_body
+        self.transport.write(
+            decision.closing_bytes if closes_connection else decision.keep_alive_bytes
+        )
+        if closes_connection:
             self._is_answered = True
-            _end(self.transport, head, self._loop)
+            _close_after_answer(self.transport, head, self._loop)
 
     def _is_between_requests(self) -> bool:
         waiter = self._waiter
         is_idle = waiter is not None and not waiter.done()
-        return is_idle and not self._messages and not self._is_mid_head
+        return is_idle and not self._messages and not self._is_head_incomplete
 
 
 class EarlyProtocol(asyncio.Protocol):
-    """A connection that has no handler until a request of it goes on to the library.
+    """A connection without a handler until aiohttp handles one of its requests.
 
-    A caller who is turned away comes back on a new connection, so one whose first
-    request is refused is closed.
+    A refused caller retries on a new connection, so a connection whose first request
+    is refused is closed.
     """
 
     def __init__(self, server: "EarlyServer", decide: Decide) -> None:
@@ -123,22 +125,22 @@
         if self._handler is not None:
             self._handler.data_received(data)
         elif not self._is_answered:
-            self._first_received(data)
+            self._handle_first_data(data)
 
-    def _first_received(self, data: bytes) -> None:
+    def _handle_first_data(self, data: bytes) -> None:
         assert self._transport is not None
         loop = asyncio.get_running_loop()
-        head = _parse(data, loop)
+        head = _parse_head(data, loop)
         decision = None if head is None else self._decide(head.message)
         if head is not None and isinstance(decision, EarlyAnswer):
             self._is_answered = True
-            self._transport.write(decision.last)
-            _end(self._transport, head, loop)
+            self._transport.write(decision.closing_bytes)
+            _close_after_answer(self._transport, head, loop)
             return
         self._server.unhandled.discard(self)
         self._handler = self._server.make_handler()
         self._handler.connection_made(self._transport)
-        self._handler.receive(data, decision)
+        self._handler.receive_first_data(data, decision)
 
     def close(self) -> None:
         """Close a connection that has no handler."""
@@ -146,22 +148,22 @@
             self._transport.close()
 
     def eof_received(self) -> None:
-        """Pass on that the caller sends nothing more; without a handler it has left."""
+        """Forward the caller's EOF; without a handler the caller has left."""
         if self._handler is not None:
             self._handler.eof_received()
 
     def pause_writing(self) -> None:
-        """Pass on that the caller reads too slowly."""
+        """Forward that the write buffer is full."""
         if self._handler is not None:
             self._handler.pause_writing()
 
     def resume_writing(self) -> None:
-        """Pass on that the caller reads again."""
+        """Forward that the write buffer has drained."""
         if self._handler is not None:
             self._handler.resume_writing()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Pass on that the connection has ended."""
+        """Forward that the connection has closed."""
         self._server.unhandled.discard(self)
         if self._handler is not None:
             self._handler.connection_lost(exc)
@@ -169,18 +171,18 @@
 
 @dataclass(frozen=True, slots=True)
 class _Head:
-    """The head of a request, and whether all that follows it has come."""
+    """The head of a request, and whether its whole body has arrived."""
 
     message: RawRequestMessage
     has_whole_body: bool
 
 
-def _parse(data: bytes, loop: asyncio.AbstractEventLoop) -> _Head | None:
-    """Return the one request that begins here; None is for the library to handle."""
+def _parse_head(data: bytes, loop: asyncio.AbstractEventLoop) -> _Head | None:
+    """Parse data that holds the head of one request; None if aiohttp must handle it."""
     parser = HttpRequestParser(
         BaseProtocol(loop),
         loop,
-        PARSED_BYTES,
+        MAX_PARSED_BYTES,
         max_line_size=MAX_HEADER_BYTES,
         max_field_size=MAX_HEADER_BYTES,
     )
@@ -192,17 +194,17 @@
     if len(messages) != 1 or is_upgraded or tail:
         return None
     message, payload = messages[0]
-    if message.method in ANSWERED_WITHOUT_BODY:
+    if message.method in BODILESS_ANSWER_METHODS:
         return None
     return _Head(message, payload.is_eof())
 
 
-def _end(
+def _close_after_answer(
     transport: asyncio.Transport, head: _Head, loop: asyncio.AbstractEventLoop
 ) -> None:
-    """End a connection after an answer.
+    """Close a connection after an answer, once its request was read.
 
-    Closed with bytes unread it would be reset, and the caller might lose the answer.
+    Closing it with unread bytes would reset it, and the caller could lose the answer.
     """
     if head.has_whole_body:
         transport.close()
@@ -211,9 +213,9 @@
 
 
 class EarlyServer(web.Server):
-    """The library's server, whose connections decide early.
+    """aiohttp's server, with a decision before each request is handled.
 
-    ``unhandled`` are connections without a handler.
+    ``unhandled`` holds the connections without a handler.
     """
 
     def __init__(self, decide: Decide, *args: Any, **kwargs: Any) -> None:
@@ -226,11 +228,11 @@
         return EarlyProtocol(self, self._decide)
 
     def make_handler(self) -> EarlyHandler:
-        """Return the library's handler of a connection."""
+        """Return aiohttp's handler of a connection."""
         return EarlyHandler(self, self._decide, loop=self._loop, **self._kwargs)
 
 
 def pop_decision(http: web.BaseRequest) -> Any:
-    """Return what was decided on a request when its head came, or None."""
+    """Remove and return the early decision on a request, or None."""
     handler = http.protocol
     return handler.pop_decision() if isinstance(handler, EarlyHandler) else None
--- a/sesameford/http_ports.py
+++ b/sesameford/http_ports.py
@@ -1,4 +1,4 @@
-"""Listening and connecting over HTTP, with the bounds that outsiders meet."""
+"""HTTP listeners and client sessions, with limits on connections and time."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -15,7 +15,7 @@
 from sesameford.target_connections import make_connector
 
 CONNECT_TIMEOUT_SECONDS = 2.0
-KEEP_ALIVE_SECONDS = 60.0
+IDLE_TIMEOUT_SECONDS = 60.0
 SHUTDOWN_TIMEOUT_SECONDS = 1.0
 BACKLOG_CONNECTIONS = 1024
 
@@ -25,20 +25,20 @@
     idle_seconds: float | None = None,
     connect_seconds: float = CONNECT_TIMEOUT_SECONDS,
 ) -> ClientSession:
-    """Return the session for targets: it bounds no time but that to connect.
+    """Return the client session for targets, with a timeout only for connecting.
 
-    How long an answer may take is decided where the request's deadline is known.
+    The code that knows the deadline of a request bounds the time of its answer.
 
     Args:
-        context: For TLS, or None.
-        idle_seconds: For how long a connection is kept for the next exchange. Only
-            for targets whose answers name the request that they belong to.
-        connect_seconds: How long a new connection may take.
-
-    Without ``idle_seconds`` each exchange has a connection of its own. On a pooled
-    one a late answer to an exchange that was given up would be read as the answer to
-    the next, and one that the target has just closed looks like a target that died
-    with the request.
+        context: The TLS context, or None.
+        idle_seconds: The idle timeout of a pooled connection. Only for targets whose
+            answers name the request that they belong to.
+        connect_seconds: The connect timeout.
+
+    Without ``idle_seconds`` each exchange has its own connection. On a pooled one a
+    late answer to an abandoned exchange would be read as the answer to the next, and
+    a connection that the target has just closed looks like a target that crashed
+    during the request.
     """
     ssl = context if context is not None else True
     if idle_seconds is None:
@@ -52,9 +52,9 @@
         auto_decompress=False,
         cookie_jar=DummyCookieJar(),
     )
-    # The library sends GET, PUT and DELETE a second time by itself when a connection
-    # breaks, whatever the tree says of the route: a call that may run once would run
-    # twice, and no budget would count it. There is no public switch.
+    # By default aiohttp resends GET, PUT and DELETE when a connection breaks, whatever
+    # the tree allows for the route: a call that may run once would run twice, and no
+    # retry budget would count it. aiohttp has no public option for this.
     session._retry_connection = False
     return session
 
@@ -69,11 +69,11 @@
     """Serve an application on an address.
 
     Args:
-        app: The application; a handler is cancelled when its caller goes away.
-        address: IP number and port.
-        context: For TLS, or None.
-        limits: What one outsider can hold of the listener.
-        counts: Where connections are counted.
+        app: The application; a handler is cancelled when its caller disconnects.
+        address: IP address and port.
+        context: The TLS context, or None.
+        limits: The connection limits of the listener.
+        counts: The connection counts, updated by the listener.
 
     Returns:
         A function that stops serving.
@@ -87,7 +87,7 @@
         access_log=None,
         max_line_size=MAX_HEADER_BYTES,
         max_field_size=MAX_HEADER_BYTES,
-        keepalive_timeout=KEEP_ALIVE_SECONDS,
+        keepalive_timeout=IDLE_TIMEOUT_SECONDS,
         shutdown_timeout=SHUTDOWN_TIMEOUT_SECONDS,
     )
     await runner.setup()
@@ -109,26 +109,27 @@
     server: Listener
 
     def stop_accepting(self) -> None:
-        """Take no new connection, and end each kept one when its request is answered.
+        """Accept no new connections, and close each open one after its response.
 
-        Callers go on using the connections that they have until somebody ends them,
-        and would be cut when the process does.
+        Callers reuse their connections until they are closed, and would lose requests
+        when the process exits.
         """
         self.server.close()
         if isinstance(self.calls, EarlyServer):
             for unhandled in tuple(self.calls.unhandled):
                 unhandled.close()
         for connection in self.calls.connections:
-            # A request that has come and is not begun yet is no current one either.
-            is_idle = _waits_for_request(connection)
+            # aiohttp has no current request on an idle connection, and none yet on one
+            # whose request has arrived but not started, so ``_is_idle`` checks more.
+            is_idle = _is_idle(connection)
             connection.close()
-            # The library ends the handler of an idle connection and leaves it open;
-            # a request that comes there would be read by nobody.
+            # aiohttp ends the handler of an idle connection and leaves it open; a
+            # request that arrives there would never be read.
             if is_idle and connection.transport is not None:
                 connection.transport.close()
 
     def set_idle_seconds(self, idle_seconds: float) -> None:
-        """Let connections from now on be without a request for so long."""
+        """Set the idle timeout of connections accepted from now on."""
         self.calls._kwargs["keepalive_timeout"] = idle_seconds
 
     async def stop(self) -> None:
@@ -137,8 +138,8 @@
         await self.calls.shutdown(SHUTDOWN_TIMEOUT_SECONDS)
 
 
-def _waits_for_request(connection: web.RequestHandler) -> bool:
-    """Return whether the library has nothing to do for a connection."""
+def _is_idle(connection: web.RequestHandler) -> bool:
+    """Return whether aiohttp has no request to handle on a connection."""
     waiter = connection._waiter
     is_new = connection._request_count == 0
     return is_new or (waiter is not None and not waiter.done())
@@ -154,12 +155,12 @@
     """Serve all paths of an address by one handler, without an application's routes.
 
     Args:
-        handler: Answers a request; cancelled when its caller goes away.
-        address: IP number and port.
-        limits: What one outsider can hold of the listener.
-        counts: Where connections are counted.
-        decide: Decides on a request when its head has come, before the handler; see
-            ``early_answers``.
+        handler: Answers a request; cancelled when its caller disconnects.
+        address: IP address and port.
+        limits: The connection limits of the listener.
+        counts: The connection counts, updated by the listener.
+        decide: Decides on a request once its head has arrived, before the handler;
+            see ``early_answers``.
 
     Returns:
         The open port.
@@ -174,7 +175,7 @@
         access_log=None,
         max_line_size=MAX_HEADER_BYTES,
         max_field_size=MAX_HEADER_BYTES,
-        keepalive_timeout=KEEP_ALIVE_SECONDS,
+        keepalive_timeout=IDLE_TIMEOUT_SECONDS,
     )
     server = _listen_guarded(calls, address, None, limits, counts)
     return CallsPort(calls, server)
@@ -187,9 +188,11 @@
     limits: GuardLimits | None,
     counts: GuardCounts | None,
 ) -> Listener:
-    """Listen with the bounds of ``connection_guard``."""
-    guarded = make_guard(
+    """Listen with the limits of ``connection_guard``."""
+    make_guarded_protocol = make_guard(
         make_protocol, limits or GuardLimits(), counts or GuardCounts()
     )
     host, port = split_address(address)
-    return make_listener(guarded, host, port, context, BACKLOG_CONNECTIONS)
+    return make_listener(
+        make_guarded_protocol, host, port, context, BACKLOG_CONNECTIONS
+    )
--- a/sesameford/listener.py
+++ b/sesameford/listener.py
@@ -1,4 +1,4 @@
-"""Accepting connections as fast as they come."""
+"""A listener that accepts many connections per turn of the event loop."""
 
 import asyncio
 import logging
@@ -8,18 +8,18 @@
 
 logger = logging.getLogger(__name__)
 
-# uvloop accepts one connection each time that its loop turns. With a flood of callers
-# on new connections a turn takes some ten milliseconds, so that a hundred connections
-# a second are accepted, and the others wait in the kernel until their callers give up,
-# while the loop itself is hardly late. Accepting many at once shows them to the code
-# that decides whom to turn away. Some thousand a second are accepted by this number.
+# uvloop accepts one connection per turn of its loop. During a burst of new connections
+# a turn takes some ten milliseconds, so a hundred connections a second are accepted.
+# The others wait in the kernel's backlog until their callers time out, while the loop
+# itself shows hardly any lag. Accepting many per turn lets the admission code refuse
+# them. This value accepts some thousand connections a second.
 MAX_ACCEPTS_PER_TURN = 64
-# With no descriptor left nothing can be accepted; connections that end free some.
-PAUSE_SECONDS = 0.1
+# Without free file descriptors no connection can be accepted until others close.
+ACCEPT_RETRY_SECONDS = 0.1
 
 
 class Listener:
-    """A listening socket that accepts until it is closed."""
+    """A listening socket that accepts connections until it is closed."""
 
     def __init__(
         self,
@@ -31,25 +31,25 @@
         self._listening = listening
         self._context = context
         self._loop = asyncio.get_running_loop()
-        self._opening: set[asyncio.Task[None]] = set()
-        self._resume: asyncio.TimerHandle | None = None
-        self._loop.add_reader(listening.fileno(), self._accept)
+        self._handshake_tasks: set[asyncio.Task[None]] = set()
+        self._resume_timer: asyncio.TimerHandle | None = None
+        self._loop.add_reader(listening.fileno(), self._accept_pending)
 
     @property
     def sockets(self) -> tuple[socket.socket, ...]:
-        """Return the listening socket, while it is open."""
+        """Return the listening socket, or nothing once it is closed."""
         return () if self._listening.fileno() < 0 else (self._listening,)
 
     def close(self) -> None:
-        """Accept nothing more; connections that are open stay so."""
+        """Stop accepting connections; open ones stay open."""
         if self._listening.fileno() < 0:
             return
-        if self._resume is not None:
-            self._resume.cancel()
+        if self._resume_timer is not None:
+            self._resume_timer.cancel()
         self._loop.remove_reader(self._listening.fileno())
         self._listening.close()
 
-    def _accept(self) -> None:
+    def _accept_pending(self) -> None:
         for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
                 connection, _ = self._listening.accept()
@@ -57,11 +57,11 @@
                 return
             except OSError as error:
                 logger.warning("can't accept: %s", error)
-                self._pause()
+                self._pause_accepting()
                 return
             task = self._loop.create_task(self._open(connection))
-            self._opening.add(task)
-            task.add_done_callback(self._opening.discard)
+            self._handshake_tasks.add(task)
+            task.add_done_callback(self._handshake_tasks.discard)
 
     async def _open(self, connection: socket.socket) -> None:
         try:
@@ -71,18 +71,21 @@
                 self._make_protocol, connection, ssl=self._context
             )
         except OSError as error:
-            # The caller has left already, or its TLS handshake failed.
+            # The caller has disconnected already, or its TLS handshake failed.
             connection.close()
-            logger.info("a connection did not come about: %s", error)
+            logger.info("connection setup failed: %s", error)
 
-    def _pause(self) -> None:
-        """Stop accepting for a moment, or the loop would turn without end."""
+    def _pause_accepting(self) -> None:
+        """Stop accepting for ``ACCEPT_RETRY_SECONDS``.
+
+        The socket stays readable, so the loop would call the reader again and again.
+        """
         self._loop.remove_reader(self._listening.fileno())
-        self._resume = self._loop.call_later(
-            PAUSE_SECONDS,
+        self._resume_timer = self._loop.call_later(
+            ACCEPT_RETRY_SECONDS,
             self._loop.add_reader,
             self._listening.fileno(),
-            self._accept,
+            self._accept_pending,
         )
 
 
@@ -93,14 +96,14 @@
     context: SSLContext | None,
     backlog: int,
 ) -> Listener:
-    """Listen on an address; to be called on the running loop.
+    """Listen on an address; call this on the running event loop.
 
     Args:
-        make_protocol: Makes what serves one connection.
-        host: An IP number.
-        port: The port, 0 for any.
-        context: For TLS, or None.
-        backlog: Connections that may wait to be accepted.
+        make_protocol: Makes the protocol of one connection.
+        host: An IP address.
+        port: The port, or 0 for any free port.
+        context: The TLS context, or None.
+        backlog: The number of connections that may wait to be accepted.
 
     Raises:
         OSError: The address can't be listened on.
--- a/tests/test_connection_guard.py
+++ b/tests/test_connection_guard.py
@@ -43,7 +43,7 @@
     Without a bound the connection stays for ever, and many of them leave no socket
     for callers.
     """
-    async with guarded(GuardLimits(first_head_seconds=0.05)) as (port, counts):
+    async with guarded(GuardLimits(first_head_timeout_seconds=0.05)) as (port, counts):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(REQUEST[:-2])
         with suppress(ConnectionResetError):
@@ -54,7 +54,7 @@
 
 
 async def test_a_head_in_pieces_is_served():
-    async with guarded(GuardLimits(first_head_seconds=5.0)) as (port, _):
+    async with guarded(GuardLimits(first_head_timeout_seconds=5.0)) as (port, _):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         for byte in REQUEST:
             writer.write(bytes([byte]))
--- a/tests/test_early_answers.py
+++ b/tests/test_early_answers.py
@@ -173,13 +173,13 @@
         if is_kept:
             writer.write(request_bytes(desk, "/safe/") + b"notes")
             assert (await answer_of(reader))[0] == 200
-        receive = EarlyHandler.receive
+        receive_first_data = EarlyHandler.receive_first_data
 
         def receive_and_stop(handler, data, decision):
-            receive(handler, data, decision)
+            receive_first_data(handler, data, decision)
             asyncio.get_running_loop().call_soon(desk.port.stop_accepting)
 
-        monkeypatch.setattr(EarlyHandler, "receive", receive_and_stop)
+        monkeypatch.setattr(EarlyHandler, "receive_first_data", receive_and_stop)
         writer.write(request_bytes(desk, "/unsafe/") + b"notes")
         assert (await answer_of(reader))[0] == 200
         async with asyncio.timeout(1):
