--- a/tests/callers_fixture.py
+++ b/tests/callers_fixture.py
@@ -1,4 +1,4 @@
-"""The callers' port of one router in this process, before a small counting engine."""
+"""The callers' port of one router in this process, with a small counting engine."""
 
 from dataclasses import dataclass, field
 from hashlib import sha256
@@ -37,7 +37,7 @@
 
 @dataclass
 class Counts:
-    """What the engine and the service ran."""
+    """The requests that the engine and the service ran."""
 
     completions: list[dict] = field(default_factory=list)
     calls: list[str] = field(default_factory=list)
@@ -88,9 +88,9 @@
 
     def announce(self, kind: TargetKind, name: str) -> None:
         url = str(self.targets.make_url("")).rstrip("/")
-        news = TargetAnnouncement(name, 1, 1, kind, (name,), url, "a", 8, 60.0)
-        spread = make_target_replication(self.router.registry, "e1", 1, False)
-        spread.announced(news, monotonic())
+        announcement = TargetAnnouncement(name, 1, 1, kind, (name,), url, "a", 8, 60.0)
+        replication = make_target_replication(self.router.registry, "e1", 1, False)
+        replication.announced(announcement, monotonic())
         self.router.tick()
 
     async def close(self) -> None:
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,7 +1,7 @@
-"""The callers' port: good requests are served, bad ones get a clear error.
+"""The callers' port: valid requests are served, invalid ones get a clear error.
 
-Whatever is wrong with a request, its caller hears what, that it was not run, and
-no target has run anything.
+The answer to an invalid request names the reason and the outcome "not-run", and no
+target has run anything.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
         await port.close()
 
 
-async def test_a_whole_completion():
+async def test_an_unstreamed_completion():
     async with open_port() as port:
         answer = await port.client.post(
             "/v1/completions", json=PROMPT, headers=GOOD_KEY
@@ -94,7 +94,7 @@
         400,
         "bad-header",
     ),
-    "an endless idempotency key": (
+    "an idempotency key too long": (
         {"json": PROMPT, "headers": {**GOOD_KEY, "Idempotency-Key": "k" * 256}},
         400,
         "bad-idempotency-key",
@@ -116,10 +116,9 @@
 
 
 async def test_a_wrong_content_length_is_refused():
-    """A caller says that more bytes will come than it sends, then closes.
+    """A caller sends fewer bytes than its Content-Length, then closes.
 
-    The half body may be valid by chance; run, it would answer a question that
-    nobody asked.
+    The truncated body may be valid by chance and would run as another request.
     """
     async with open_port() as port:
         reader, writer = await asyncio.open_connection("127.0.0.1", port.client.port)
@@ -136,10 +135,10 @@
         assert port.router.scheduler.waiting_requests() == 0
 
 
-async def test_a_body_that_dribbles_is_refused():
-    """A caller sends its head and then hardly anything more.
+async def test_a_slow_body_is_refused():
+    """A caller sends its head and then hardly any bytes of its body.
 
-    Many of them would hold buffers and sockets until nobody else gets any.
+    Many such callers would hold the buffers and sockets that others need.
     """
     async with open_port(body_timeout_seconds=0.05) as port:
         reader, writer = await asyncio.open_connection("127.0.0.1", port.client.port)
@@ -176,7 +175,7 @@
         assert port.counts.completions == []
 
 
-async def test_only_known_customers_see_the_models():
+async def test_only_authenticated_customers_list_the_models():
     async with open_port() as port:
         refused = await port.client.get("/v1/models")
         listed = await port.client.get("/v1/models", headers=GOOD_KEY)
@@ -192,14 +191,16 @@
     ),
     max_leaves=8,
 )
-BODIES = st.binary(max_size=60) | JSON_VALUES.map(lambda one: json.dumps(one).encode())
+BODIES = st.binary(max_size=60) | JSON_VALUES.map(
+    lambda value: json.dumps(value).encode()
+)
 
 
-async def test_no_body_breaks_the_port():
-    """Somebody sends whatever bytes come to mind, with a good key.
+async def test_arbitrary_bodies_get_a_valid_answer():
+    """A caller with a valid key sends arbitrary bytes.
 
-    Each gets an answer of the dialect or a problem document; an error of the
-    instance's own would tell of code that nobody has thought through.
+    Each body gets an answer of the API or a problem document, never an internal
+    error.
     """
     bodies = []
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims on idempotency keys: at most once, whatever is resent and when."""
+"""Claims on idempotency keys: at most one run, whatever is resent and when."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -34,22 +34,22 @@
     return decode_claim_reply(machine.apply(index, encode_claim_command(command)))
 
 
-def test_a_resend_through_another_router_joins_then_gets_the_kept_answer():
-    """A caller loses its connection and sends the same again through another
-    router. Without the claim the mailing would go out twice."""
+def test_a_resend_through_another_router_joins_then_gets_the_stored_answer():
+    """A caller loses its connection and resends through another router. Without the
+    claim the request would run twice."""
     machine = ClaimsMachine()
     assert apply(machine, 5, claim()).verdict is ClaimVerdict.RUN
     joined = apply(machine, 6, claim(request="r2", router="y"))
     assert (joined.verdict, joined.claim_index) == (ClaimVerdict.JOIN, 5)
     assert joined.owner == owner()
     apply(machine, 7, Completion("c", "k", 5, ANSWER, 1.0))
-    kept = apply(machine, 8, claim(request="r3", router="y"))
-    assert (kept.verdict, kept.answer) == (ClaimVerdict.STORED, ANSWER)
+    stored = apply(machine, 8, claim(request="r3", router="y"))
+    assert (stored.verdict, stored.answer) == (ClaimVerdict.STORED, ANSWER)
 
 
 def test_the_same_key_with_another_body_is_refused():
-    """A caller's program reuses a key by mistake. Were it given the old answer, it
-    would take that for the answer to its new request."""
+    """A caller reuses a key by mistake. It would take the stored answer for the
+    answer to its new request."""
     machine = ClaimsMachine()
     apply(machine, 1, claim())
     other = apply(machine, 2, claim(request="r2", body=b"e" * 32))
@@ -57,12 +57,12 @@
 
 
 def test_a_late_release_does_not_free_a_key_that_ran_or_was_taken_over():
-    """A router that was cut off sends its release long after another router took
-    the claim over. Freeing the key then would let a third run it again."""
+    """An isolated router's release arrives after another router took over the claim.
+    Removing the claim then would allow a second run."""
     machine = ClaimsMachine()
     apply(machine, 1, claim())
-    taken = apply(machine, 2, TakeOver("c", "k", 1, owner("r2", "y"), 0.0))
-    assert (taken.verdict, taken.claim_index) == (ClaimVerdict.RUN, 2)
+    takeover = apply(machine, 2, TakeOver("c", "k", 1, owner("r2", "y"), 0.0))
+    assert (takeover.verdict, takeover.claim_index) == (ClaimVerdict.RUN, 2)
     late = apply(machine, 3, ClaimRelease("c", "k", 1, 0.0))
     assert late.verdict is ClaimVerdict.SUPERSEDED
     apply(machine, 4, Completion("c", "k", 2, None, 0.0, certain=False))
@@ -70,13 +70,13 @@
         apply(machine, 5, ClaimRelease("c", "k", 2, 0.0)).verdict
         is ClaimVerdict.SUPERSEDED
     )
-    told = apply(machine, 6, claim(request="r3"))
-    assert told.verdict is ClaimVerdict.MAY_HAVE_RUN
+    resend = apply(machine, 6, claim(request="r3"))
+    assert resend.verdict is ClaimVerdict.MAY_HAVE_RUN
 
 
 def test_one_fast_clock_does_not_expire_the_claims_of_all():
-    """One router's clock is a day ahead. Were it believed, every claim would expire
-    at once and the resends of that hour would run a second time."""
+    """One router's clock is a day ahead. If the machine used it, every claim would
+    expire at once and the resends of that hour would run a second time."""
     machine = ClaimsMachine()
     apply(machine, 1, claim(at=100.0, router="x"))
     apply(machine, 2, claim("k2", "r2", at=101.0, router="y"))
@@ -86,7 +86,7 @@
     )
 
 
-def test_claims_expire_once_most_routers_say_so():
+def test_claims_expire_after_their_retention_time():
     machine = ClaimsMachine()
     apply(machine, 1, claim(at=0.0))
     late = CLAIM_RETENTION_SECONDS + 1.0
@@ -94,9 +94,9 @@
     assert (again.verdict, len(machine)) == (ClaimVerdict.RUN, 1)
 
 
-def test_a_flood_of_keys_leaves_room_for_other_customers():
-    """One customer sends thousands of keys. If they filled the table, no other
-    customer's keyed request would be served."""
+def test_a_burst_of_keys_leaves_free_rows_for_other_customers():
+    """One customer sends thousands of keys. If they filled the table, the keyed
+    requests of all other customers would be refused."""
     machine = ClaimsMachine(max_claims=100)
     verdicts = [
         apply(machine, n, claim(f"k{n}", f"r{n}")).verdict for n in range(1, 200)
@@ -160,8 +160,8 @@
 @settings(derandomize=True, max_examples=80, deadline=None)
 @given(st.lists(_COMMANDS, max_size=30), st.integers(0, 30))
 def test_a_replica_restored_from_a_snapshot_answers_as_the_others(commands, cut):
-    """A replica restarts from a snapshot. If it then answered otherwise than the
-    rest, the same key would run on one side and be refused on the other."""
+    """A replica restarts from a snapshot. If it then replied differently, a key would
+    run on one side of a leader change and be refused on the other."""
     machine, restored = ClaimsMachine(max_claims=4), ClaimsMachine(max_claims=4)
     for index, command in enumerate(commands, 1):
         if index == cut:
--- a/tests/test_connection_guard.py
+++ b/tests/test_connection_guard.py
@@ -1,4 +1,4 @@
-"""One outsider can't hold a listener's connections."""
+"""One client can't hold all connections of a listener."""
 
 import asyncio
 from contextlib import asynccontextmanager, suppress
@@ -13,7 +13,7 @@
 
 
 @asynccontextmanager
-async def guarded(limits):
+async def serve_guarded(limits):
     async def answer(http):
         return web.Response(text="served")
 
@@ -28,7 +28,7 @@
         await stop()
 
 
-async def ask(port, request=REQUEST):
+async def send_request(port, request=REQUEST):
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
         writer.write(request)
@@ -37,24 +37,27 @@
         writer.close()
 
 
-async def test_a_head_that_never_ends_is_cut():
-    """A sender opens a connection and dribbles a head that never ends.
+async def test_an_endless_head_is_aborted():
+    """A client opens a connection and never completes its first head.
 
-    Without a bound the connection stays for ever, and many of them leave no socket
-    for callers.
+    Without a timeout the connection stays open for ever, and many of them leave no
+    socket for other callers.
     """
-    async with guarded(GuardLimits(first_head_timeout_seconds=0.05)) as (port, counts):
+    async with serve_guarded(GuardLimits(first_head_timeout_seconds=0.05)) as (
+        port,
+        counts,
+    ):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(REQUEST[:-2])
         with suppress(ConnectionResetError):
             assert await reader.read() == b""
         writer.close()
         assert counts.too_slow == 1
-        assert b"served" in await ask(port)
+        assert b"served" in await send_request(port)
 
 
 async def test_a_head_in_pieces_is_served():
-    async with guarded(GuardLimits(first_head_timeout_seconds=5.0)) as (port, _):
+    async with serve_guarded(GuardLimits(first_head_timeout_seconds=5.0)) as (port, _):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         for byte in REQUEST:
             writer.write(bytes([byte]))
@@ -63,20 +66,22 @@
         writer.close()
 
 
-async def test_one_address_gets_no_more_than_its_connections():
-    """One customer opens connection after connection and leaves them open."""
+async def test_connections_per_address_are_limited():
+    """One client opens many connections and keeps them open."""
     limits = GuardLimits(connections=10, per_address=2)
-    async with guarded(limits) as (port, counts):
-        held = [await asyncio.open_connection("127.0.0.1", port) for _ in range(2)]
+    async with serve_guarded(limits) as (port, counts):
+        open_connections = [
+            await asyncio.open_connection("127.0.0.1", port) for _ in range(2)
+        ]
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         with suppress(ConnectionResetError):
             assert await reader.read() == b""
         writer.close()
         assert counts.refused == 1
-        for _, one in held:
-            one.close()
-            await one.wait_closed()
+        for _, open_writer in open_connections:
+            open_writer.close()
+            await open_writer.wait_closed()
         while counts.open:
             await asyncio.sleep(0.001)
-        assert b"served" in await ask(port)
+        assert b"served" in await send_request(port)
         assert set(counts.by_address) <= {"127.0.0.1"}
--- a/tests/test_early_answers.py
+++ b/tests/test_early_answers.py
@@ -1,4 +1,4 @@
-"""Requests that are decided on before the HTTP library begins with them."""
+"""Requests that are decided on before aiohttp handles them."""
 
 import asyncio
 from time import monotonic
@@ -22,7 +22,7 @@
     return "\r\n".join([*lines, "", ""]).encode()
 
 
-async def answer_of(reader):
+async def read_answer(reader):
     """Return status and body of the next answer on a connection."""
     async with asyncio.timeout(2):
         head = (await reader.readuntil(b"\r\n\r\n")).lower()
@@ -30,71 +30,71 @@
         return int(head.split()[1]), await reader.readexactly(length)
 
 
-async def test_who_is_refused_on_a_new_connection_is_let_go():
-    """Connections of callers who are turned away use up all that there may be."""
+async def test_a_new_connection_is_closed_after_a_refusal():
+    """Open connections of refused callers would use up the connection limit."""
     async with open_desk(Fault.NONE) as desk:
         reader, writer = await open_connection(desk)
         writer.write(request_bytes(desk, "/nowhere/") + b"notes")
-        assert await answer_of(reader) == (404, b"no-route\n")
+        assert await read_answer(reader) == (404, b"no-route\n")
         async with asyncio.timeout(1):
             assert await reader.read() == b""
         writer.close()
 
 
-async def test_a_kept_connection_serves_after_a_refusal():
-    """A refusal between two answers ends a connection that its caller goes on using."""
+async def test_a_persistent_connection_serves_after_a_refusal():
+    """A refusal must not close a connection that its caller continues to use."""
     async with open_desk(Fault.NONE) as desk:
         reader, writer = await open_connection(desk)
         for path, status in (("/safe/", 200), ("/nowhere/", 404), ("/safe/", 200)):
             writer.write(request_bytes(desk, path) + b"notes")
-            assert (await answer_of(reader))[0] == status
+            assert (await read_answer(reader))[0] == status
         assert desk.runs == 2
         writer.close()
 
 
 async def test_an_answer_to_head_has_no_body():
-    """The body of a refusal would be read as the answer to the next request."""
+    """The body of a refused HEAD would be read as the answer to the next request."""
     async with open_desk(Fault.NONE) as desk:
         reader, writer = await open_connection(desk)
         for method, path in (("POST", "/safe/"), ("HEAD", "/nowhere/")):
             writer.write(request_bytes(desk, path, method=method) + b"notes")
             if method == "POST":
-                assert (await answer_of(reader))[0] == 200
+                assert (await read_answer(reader))[0] == 200
         async with asyncio.timeout(2):
             assert b" 404 " in await reader.readuntil(b"\r\n\r\n")
         writer.write(request_bytes(desk, "/safe/") + b"notes")
-        assert (await answer_of(reader))[0] == 200
+        assert (await read_answer(reader))[0] == 200
         writer.close()
 
 
-async def test_a_refusal_ends_a_connection_that_its_caller_wants_ended():
-    """A caller asks for the end of its connection, and waits for it."""
+async def test_a_refusal_of_a_request_with_connection_close_closes_it():
+    """A caller sends ``Connection: close`` and waits until it is closed."""
     async with open_desk(Fault.NONE) as desk:
         reader, writer = await open_connection(desk)
         writer.write(request_bytes(desk, "/safe/") + b"notes")
-        assert (await answer_of(reader))[0] == 200
+        assert (await read_answer(reader))[0] == 200
         last = request_bytes(desk, "/nowhere/", Connection="close")
         writer.write(last + b"notes")
-        assert (await answer_of(reader))[0] == 404
+        assert (await read_answer(reader))[0] == 404
         async with asyncio.timeout(1):
             assert await reader.read() == b""
         writer.close()
 
 
-async def test_a_refusal_reaches_a_caller_who_still_sends():
-    """The body comes after the answer; reset for it, the caller would lose both."""
+async def test_a_refusal_reaches_a_caller_that_still_sends():
+    """The body arrives after the answer; a reset would lose the answer."""
     async with open_desk(Fault.NONE) as desk:
         reader, writer = await open_connection(desk)
         writer.write(request_bytes(desk, "/nowhere/", 300_000))
         await writer.drain()
         writer.write(b"x" * 300_000)
-        assert (await answer_of(reader))[0] == 404
+        assert (await read_answer(reader))[0] == 404
         await writer.drain()
         writer.close()
 
 
 async def test_a_head_in_parts_is_one_request():
-    """The second half of a head, taken for a request, would be answered alone."""
+    """The second half of a head must not be answered as a request of its own."""
     async with open_desk(Fault.NONE) as desk:
         reader, writer = await open_connection(desk)
         head = request_bytes(desk, "/safe/")
@@ -103,27 +103,27 @@
         for part in (head[:middle], hidden, head[middle:], b"no", b"tes"):
             writer.write(part)
             await asyncio.sleep(0.02)
-        assert (await answer_of(reader))[0] == 200
+        assert (await read_answer(reader))[0] == 200
         writer.write(request_bytes(desk, "/nowhere/") + b"notes")
-        assert (await answer_of(reader))[0] == 404
+        assert (await read_answer(reader))[0] == 404
         assert desk.runs == 1
         writer.close()
 
 
-async def test_the_rest_of_a_head_is_no_request_of_its_own():
-    """The second half of a head reads like a request, which would be refused alone."""
+async def test_the_rest_of_a_head_is_not_read_as_a_request():
+    """The second half of a head is a valid request, which alone would be refused."""
     async with open_desk(Fault.NONE) as desk:
         reader, writer = await open_connection(desk)
         writer.write(b"POST /safe/ HTTP/1.1\r\nX-Part: ")
         await asyncio.sleep(0.05)
         writer.write(request_bytes(desk, "/nowhere/") + b"notes")
-        assert (await answer_of(reader))[0] == 200
+        assert (await read_answer(reader))[0] == 200
         assert desk.runs == 1
         writer.close()
 
 
-async def test_two_requests_at_once_get_two_answers():
-    """The second of two requests in one packet is dropped with the first's refusal."""
+async def test_two_pipelined_requests_get_two_answers():
+    """The refusal of the first of two requests must not drop the second."""
     async with open_desk(Fault.NONE) as desk:
         reader, writer = await open_connection(desk)
         writer.write(
@@ -132,13 +132,13 @@
             + request_bytes(desk, "/safe/")
             + b"notes"
         )
-        assert (await answer_of(reader))[0] == 404
-        assert (await answer_of(reader))[0] == 200
+        assert (await read_answer(reader))[0] == 404
+        assert (await read_answer(reader))[0] == 200
         writer.close()
 
 
-async def test_a_caller_who_has_left_is_not_passed_on():
-    """A caller leaves while the loop is busy, and its request runs for nobody."""
+async def test_a_request_of_a_disconnected_caller_is_not_run():
+    """A caller disconnects while the loop is busy; its request must not run."""
     async with open_desk(Fault.NONE) as desk:
         for _ in range(20):
             _, writer = await open_connection(desk)
@@ -152,8 +152,8 @@
         assert desk.runs == 0
 
 
-async def test_a_planned_stop_ends_connections_without_a_request():
-    """A caller sends on a connection that nobody reads any more, and is cut."""
+async def test_a_planned_stop_closes_idle_connections():
+    """A request on an idle connection that stays open would never be read."""
     async with open_desk(Fault.NONE) as desk:
         reader, writer = await open_connection(desk)
         await asyncio.sleep(0.05)
@@ -163,16 +163,16 @@
         writer.close()
 
 
-@pytest.mark.parametrize("is_kept", [False, True])
-async def test_a_planned_stop_answers_a_request_that_has_just_come(
-    is_kept, monkeypatch
+@pytest.mark.parametrize("is_persistent", [False, True])
+async def test_a_planned_stop_answers_a_request_that_has_just_arrived(
+    is_persistent, monkeypatch
 ):
-    """A stop comes between the head of a request and its handler, and cuts it."""
+    """A stop between the head of a request and its handler must not cut it off."""
     async with open_desk(Fault.NONE) as desk:
         reader, writer = await open_connection(desk)
-        if is_kept:
+        if is_persistent:
             writer.write(request_bytes(desk, "/safe/") + b"notes")
-            assert (await answer_of(reader))[0] == 200
+            assert (await read_answer(reader))[0] == 200
         receive_first_data = EarlyHandler.receive_first_data
 
         def receive_and_stop(handler, data, decision):
@@ -181,7 +181,7 @@
 
         monkeypatch.setattr(EarlyHandler, "receive_first_data", receive_and_stop)
         writer.write(request_bytes(desk, "/unsafe/") + b"notes")
-        assert (await answer_of(reader))[0] == 200
+        assert (await read_answer(reader))[0] == 200
         async with asyncio.timeout(1):
             assert await reader.read() == b""
         writer.close()
--- a/tests/test_keyed.py
+++ b/tests/test_keyed.py
@@ -1,4 +1,4 @@
-"""The rare orders of events around a claim, each by itself."""
+"""Rare orders of events around a claim, one per test."""
 
 import asyncio
 
@@ -22,7 +22,7 @@
 
 
 class SlowLog:
-    """A log that commits at once and whose replies can be held or lost."""
+    """A log that commits at once and whose replies can be delayed or lost."""
 
     def __init__(self):
         self.machine = ClaimsMachine()
@@ -45,23 +45,25 @@
         return result
 
 
-class Pair:
-    """Two routers that ask each other, before one log."""
+class RouterPair:
+    """Two routers that query each other and share one log."""
 
     def __init__(self):
         self.log = SlowLog()
         self.routers = {
             name: KeyedRequests(
-                name, 1, KeyedPorts(self.log.propose, self.ask, self.pause, lambda: 0.0)
+                name,
+                1,
+                KeyedPorts(self.log.propose, self.query_owner, self.sleep, lambda: 0.0),
             )
             for name in "xy"
         }
         self.ran = []
 
-    async def ask(self, owner, claim_index):
+    async def query_owner(self, owner, claim_index):
         return self.routers[owner.router_id].report_run_state(owner, claim_index)
 
-    async def pause(self, seconds):
+    async def sleep(self, seconds):
         await asyncio.sleep(0)
 
     def send(self, router, request_id, outcome=Outcome.RAN, answer=ANSWER):
@@ -73,21 +75,21 @@
         return asyncio.create_task(self.routers[router].serve(request, run))
 
 
-async def turns(count=30):
+async def run_loop_turns(count=30):
     for _ in range(count):
         await asyncio.sleep(0)
 
 
-async def test_a_claim_whose_reply_is_under_way_counts_as_running():
-    """A router's claim is agreed, but the reply is still on its way when a resend
-    asks that router. Were it to say that it never started, both would run."""
-    pair = Pair()
+async def test_a_claim_with_a_pending_reply_is_reported_as_running():
+    """A claim is committed, but its router has not received the reply yet when a
+    resend queries it. If it answered that it never started, both would run."""
+    pair = RouterPair()
     pair.log.hold = asyncio.Event()
     first = pair.send("x", "r1")
-    await turns()
+    await run_loop_turns()
     slow, pair.log.hold = pair.log.hold, None
     second = pair.send("y", "r2")
-    await turns()
+    await run_loop_turns()
     assert pair.ran == []
     slow.set()
     assert await first is None
@@ -95,38 +97,38 @@
     assert pair.ran == ["r1"]
 
 
-async def test_a_claim_given_up_is_released_and_the_resend_runs():
-    """A claim is agreed after its router gave up and told its caller "not run". If
-    it stayed, every resend would hear that the key may have run, for an hour."""
-    pair = Pair()
+async def test_an_abandoned_claim_is_released_and_the_resend_runs():
+    """A claim is committed after its router gave up and answered "not run". If the
+    claim stayed, every resend would be answered "may have run" until it expires."""
+    pair = RouterPair()
     pair.log.lose = True
     with pytest.raises(NotRunError):
         await pair.send("x", "r1")
     pair.log.lose = False
-    await turns()
+    await run_loop_turns()
     assert len(pair.log.machine) == 0
     assert await pair.send("y", "r2") is None
     assert pair.ran == ["r2"]
-    await turns()
+    await run_loop_turns()
     assert pair.routers["x"].unsettled == 0
 
 
-async def test_a_lost_run_is_told_to_every_later_resend():
-    """A mailing's answer was lost on the way. Whether it ran nobody knows, so no
-    resend may run it again or be told that it was not run."""
-    pair = Pair()
+async def test_every_resend_of_a_lost_run_gets_an_unknown_outcome():
+    """The answer of a run was lost, so it is unknown whether it ran. No resend may
+    run it again or be answered that it was not run."""
+    pair = RouterPair()
     await pair.send("x", "r1", Outcome.UNKNOWN)
-    await turns()
+    await run_loop_turns()
     for router in "xy":
-        with pytest.raises(UnknownOutcomeError) as told:
+        with pytest.raises(UnknownOutcomeError) as caught:
             await pair.send(router, "r2")
-        assert told.value.reason == "key-may-have-run"
+        assert caught.value.reason == "key-may-have-run"
     assert pair.ran == ["r1"]
 
 
 async def test_only_one_of_two_routers_takes_a_claim_over():
-    """Two resends through two routers both hear that the owner never started. Only
-    the first may run; the other has seen a claim that is no longer there."""
+    """Two resends through two routers are both answered that the owner never started.
+    Only the first may run; the other holds an outdated claim index."""
     log = SlowLog()
     owner = ClaimOwner("z", 1, "r0")
     log.commit("p", encode_claim_command(Claim("c", "k", b"d", owner, 0.0)))
@@ -139,20 +141,20 @@
 
 
 async def test_a_released_run_lets_a_resend_run():
-    pair = Pair()
+    pair = RouterPair()
     await pair.send("x", "r1", Outcome.NOT_RUN)
-    await turns()
+    await run_loop_turns()
     assert await pair.send("y", "r2") is None
     assert pair.ran == ["r1", "r2"]
 
 
 async def test_a_large_answer_stays_at_its_router_and_is_fetched_from_there():
-    """A caller comes back for a long draft through another router. Carried by the
-    log it would be written and synced on every replica."""
-    pair = Pair()
+    """A caller fetches a large answer through another router. In the log it would be
+    written and synced on every replica."""
+    pair = RouterPair()
     large = ClaimAnswer(200, (), b"x" * 100_000)
     await pair.send("x", "r1", answer=large)
-    await turns()
+    await run_loop_turns()
     assert len(pair.log.machine.snapshot()) < 1_000
     assert await pair.send("y", "r2") == large
     assert pair.ran == ["r1"]
--- a/tests/test_keyed_machine.py
+++ b/tests/test_keyed_machine.py
@@ -1,7 +1,7 @@
 """Keyed requests under resends, crashes, restarts, partitions and late answers.
 
-The real code of `sesameford.keyed` and `sesameford.claims` runs on a loop with
-virtual time. The oracle is the fake target's own count of what ran.
+The real code of `sesameford.keyed` and `sesameford.claims` runs on an event loop with
+virtual time. The oracle is the fake target's own count of runs.
 """
 
 import asyncio
@@ -39,7 +39,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time moves only when it is told."""
+    """An event loop whose time only the test advances."""
 
     virtual_seconds = 0.0
 
@@ -49,7 +49,7 @@
 
 @dataclass(eq=False)
 class Process:
-    """One life of a router; what a dead one still does reaches nobody."""
+    """One incarnation of a router; the actions of a dead one have no effect."""
 
     router_id: str
     incarnation: int
@@ -60,19 +60,19 @@
 
 @dataclass(eq=False)
 class Send:
-    """One sending by a caller, and what it was told."""
+    """One request of a caller, and its reported outcome."""
 
     number: int
     key: str
     body: bytes
     started: int = 0
-    told: str | None = None
+    outcome: str | None = None
     answer: ClaimAnswer | None = None
 
 
 @dataclass(eq=False)
 class Step:
-    """Something under way that a rule lets happen, in any order."""
+    """A pending step that a rule completes, in any order."""
 
     process: Process
     future: asyncio.Future
@@ -88,8 +88,8 @@
         self.log = ClaimsMachine()
         self.index = 0
         self.results = {}
-        self.proposals, self.stray = [], []
-        self.questions, self.dispatches, self.runs = [], [], []
+        self.proposals, self.lost_proposals = [], []
+        self.queries, self.dispatches, self.runs = [], [], []
         self.started = Counter()
         self.sends, self.bodies = [], {}
         self.processes = {}
@@ -99,21 +99,21 @@
     def start(self, router_id, incarnation):
         process = Process(router_id, incarnation)
         ports = KeyedPorts(
-            propose=lambda *step: self.under_way(self.proposals, process, step),
-            query_owner=lambda *step: self.under_way(self.questions, process, step),
+            propose=lambda *step: self.wait_for_step(self.proposals, process, step),
+            query_owner=lambda *step: self.wait_for_step(self.queries, process, step),
             sleep=asyncio.sleep,
             now_seconds=self.loop.time,
         )
         process.keyed = KeyedRequests(router_id, incarnation, ports)
         self.processes[router_id] = process
 
-    async def under_way(self, queue, process, detail):
+    async def wait_for_step(self, queue, process, detail):
         step = Step(process, self.loop.create_future(), detail)
         if not process.dead:
             queue.append(step)
         return await step.future
 
-    def spin(self):
+    def run_pending_tasks(self):
         async def turns():
             for _ in range(TURNS):
                 await asyncio.sleep(0)
@@ -121,20 +121,20 @@
         self.loop.run_until_complete(turns())
 
     def open_sends(self):
-        living = [p.tasks for p in self.processes.values()]
-        return [task for tasks in living for task in tasks if not task.done()]
+        task_lists = [p.tasks for p in self.processes.values()]
+        return [task for tasks in task_lists for task in tasks if not task.done()]
 
-    def take(self, queue, place):
+    def pop_step(self, queue, place):
         return queue.pop(place % len(queue)) if queue else None
 
-    def finish(self, step, result=None, error=None):
+    def finish_step(self, step, result=None, error=None):
         if step is None or step.future.done():
             return
         if error is not None:
             step.future.set_exception(error)
         else:
             step.future.set_result(result)
-        self.spin()
+        self.run_pending_tasks()
 
     def commit(self, detail):
         proposal_id, _, command = detail
@@ -144,13 +144,13 @@
         return self.results[proposal_id]
 
     async def run(self, process, send):
-        """The fake target: refuses, or starts and counts, and ends some way."""
-        refused = await self.under_way(self.dispatches, process, (send,))
+        """The fake target: refuses, or starts, counts the run and ends it."""
+        refused = await self.wait_for_step(self.dispatches, process, (send,))
         if refused:
             return RunEnd(Outcome.NOT_RUN)
-        return await self.under_way(self.runs, process, (send,))
+        return await self.wait_for_step(self.runs, process, (send,))
 
-    async def caller(self, process, send):
+    async def serve_caller(self, process, send):
         request = KeyedRequest(
             f"r{send.number}",
             "c",
@@ -167,12 +167,12 @@
 
         try:
             send.answer = await process.keyed.serve(request, run)
-            send.told = "kept" if send.answer else ends[0].outcome.value
+            send.outcome = "kept" if send.answer else ends[0].outcome.value
         except NotRunError as error:
-            send.told = error.reason
-            assert send.started == 0, "told not-run, and it ran"
+            send.outcome = error.reason
+            assert send.started == 0, "reported as not-run, but it ran"
         except UnknownOutcomeError as error:
-            send.told = error.reason
+            send.outcome = error.reason
 
     @precondition(lambda self: len(self.open_sends()) < 3)
     @rule(
@@ -185,18 +185,18 @@
         send = Send(len(self.sends), key, body)
         self.sends.append(send)
         self.bodies.setdefault(key, set()).add(body)
-        process.tasks.append(self.loop.create_task(self.caller(process, send)))
-        self.spin()
+        process.tasks.append(self.loop.create_task(self.serve_caller(process, send)))
+        self.run_pending_tasks()
 
-    def agree(self, place):
-        step = self.take(self.proposals, place)
+    def commit_proposal(self, place):
+        step = self.pop_step(self.proposals, place)
         if step is not None:
-            self.finish(step, self.commit(step.detail))
+            self.finish_step(step, self.commit(step.detail))
 
     @precondition(lambda self: self.open_sends())
     @rule(what=st.sampled_from(FAULTS), place=PLACES, other=PLACES)
     def fault(self, what, place, other):
-        """One rule for what goes wrong on the way, so that most steps are progress."""
+        """One rule for all faults, so that most steps are progress."""
         if what == "refuse_run" and self.dispatches:
             self.refuse_run(place)
         elif what == "lose_answer" and self.runs:
@@ -205,81 +205,81 @@
             self.reply_lost(place, other % 2 == 0)
         elif what == "agree_reply_under_way" and self.proposals:
             self.agree_reply_under_way(place)
-        elif what == "owner_unreachable" and self.questions:
+        elif what == "owner_unreachable" and self.queries:
             self.owner_unreachable(place)
-        elif what == "owner_answers_late" and self.questions and self.proposals:
+        elif what == "owner_answers_late" and self.queries and self.proposals:
             self.owner_answers_late(place, other)
 
     def agree_reply_under_way(self, place):
         self.commit(self.proposals[place % len(self.proposals)].detail)
 
     def reply_lost(self, place, committed):
-        step = self.take(self.proposals, place)
+        step = self.pop_step(self.proposals, place)
         if committed:
             self.commit(step.detail)
         else:
-            self.stray.append(step.detail)
-        self.finish(step, error=NoQuorumError("lost"))
+            self.lost_proposals.append(step.detail)
+        self.finish_step(step, error=NoQuorumError("lost"))
 
     def owner_answers(self, place):
-        step = self.take(self.questions, place)
-        self.finish(step, self.word(step))
+        step = self.pop_step(self.queries, place)
+        self.finish_step(step, self.make_reply(step))
 
     def owner_answers_late(self, place, other):
-        """The word is from before what happens next, and arrives after it."""
-        step = self.take(self.questions, place)
-        word = self.word(step)
-        self.agree(other)
-        self.finish(step, word)
+        """The reply is made before the next commit and arrives after it."""
+        step = self.pop_step(self.queries, place)
+        reply = self.make_reply(step)
+        self.commit_proposal(other)
+        self.finish_step(step, reply)
 
-    def word(self, step) -> OwnerReply:
+    def make_reply(self, step) -> OwnerReply:
         owner, claim_index = step.detail
         return self.processes[owner.router_id].keyed.report_run_state(
             owner, claim_index
         )
 
     def owner_unreachable(self, place):
-        """A router that is cut off answers none of the questions."""
-        step = self.take(self.questions, place)
-        asker, detail = step.process, step.detail
-        self.finish(step, None)
+        """An isolated router answers none of the queries."""
+        step = self.pop_step(self.queries, place)
+        sender, detail = step.process, step.detail
+        self.finish_step(step, None)
         for _ in range(MAX_UNANSWERED_QUERIES):
             again = [
                 other
-                for other in self.questions
-                if (other.process, other.detail) == (asker, detail)
+                for other in self.queries
+                if (other.process, other.detail) == (sender, detail)
             ]
             for other in again:
-                self.questions.remove(other)
-                self.finish(other, None)
+                self.queries.remove(other)
+                self.finish_step(other, None)
 
     def start_run(self, place):
-        step = self.take(self.dispatches, place)
+        step = self.pop_step(self.dispatches, place)
         (send,) = step.detail
         send.started += 1
         self.started[send.key] += 1
-        self.finish(step, False)
+        self.finish_step(step, False)
 
     def refuse_run(self, place):
-        self.finish(self.take(self.dispatches, place), True)
+        self.finish_step(self.pop_step(self.dispatches, place), True)
 
     def answer(self, place):
-        step = self.take(self.runs, place)
+        step = self.pop_step(self.runs, place)
         (send,) = step.detail
         body = send.key.encode() + b"/" + send.body
-        self.finish(step, RunEnd(Outcome.RAN, ClaimAnswer(200, (), body)))
+        self.finish_step(step, RunEnd(Outcome.RAN, ClaimAnswer(200, (), body)))
 
     def lose_answer(self, place):
-        self.finish(self.take(self.runs, place), RunEnd(Outcome.UNKNOWN))
+        self.finish_step(self.pop_step(self.runs, place), RunEnd(Outcome.UNKNOWN))
 
     @precondition(lambda self: self.open_sends())
     @rule(places=st.lists(PLACES, min_size=1, max_size=4))
     def progress(self, places):
-        """What mostly happens: the next steps succeed, in some order."""
+        """The usual case: the next steps succeed, in some order."""
         for place in places:
             steps = [
-                *((self.proposals, self.agree) for _ in self.proposals),
-                *((self.questions, self.owner_answers) for _ in self.questions),
+                *((self.proposals, self.commit_proposal) for _ in self.proposals),
+                *((self.queries, self.owner_answers) for _ in self.queries),
                 *((self.dispatches, self.start_run) for _ in self.dispatches),
                 *((self.runs, self.answer) for _ in self.runs),
             ]
@@ -296,37 +296,37 @@
         seconds=st.sampled_from([0.3, 1.1, 30.0]),
     )
     def mishap(self, what, router, place, seconds):
-        """One rule for what is rare, so that most steps are progress."""
+        """One rule for all rare events, so that most steps are progress."""
         if what == "crash":
             self.crash(router)
         elif what == "leave":
             self.caller_leaves(router, place)
         elif what == "wait":
             self.time_passes(seconds)
-        elif self.stray:
-            self.commit(self.stray.pop(place % len(self.stray)))
+        elif self.lost_proposals:
+            self.commit(self.lost_proposals.pop(place % len(self.lost_proposals)))
 
     def crash(self, router):
         process = self.processes[router]
         process.dead = True
-        for queue in (self.proposals, self.questions, self.dispatches, self.runs):
+        for queue in (self.proposals, self.queries, self.dispatches, self.runs):
             queue[:] = [step for step in queue if step.process is not process]
         for task in process.tasks:
             task.cancel()
-        self.spin()
+        self.run_pending_tasks()
         self.loop.run_until_complete(process.keyed.close())
         self.start(router, process.incarnation + 1)
 
     def caller_leaves(self, router, place):
-        """Before the run; a run under a key goes on without its caller."""
+        """Cancel a request before its run; a keyed run continues without its caller."""
         tasks = [task for task in self.processes[router].tasks if not task.done()]
         if tasks and not self.dispatches and not self.runs:
             tasks[place % len(tasks)].cancel()
-            self.spin()
+            self.run_pending_tasks()
 
     def time_passes(self, seconds):
         self.loop.virtual_seconds += seconds
-        self.spin()
+        self.run_pending_tasks()
 
     @invariant()
     def nothing_runs_twice(self):
@@ -338,38 +338,40 @@
         for send in self.sends:
             if send.answer is not None:
                 assert send.answer.body == send.key.encode() + b"/" + send.body
-            if send.told == "key-other-body":
+            if send.outcome == "key-other-body":
                 assert len(self.bodies[send.key]) > 1
 
     def teardown(self):
-        """With all faults over, every caller is told something."""
+        """Check that every caller gets an outcome once the faults are over."""
         for _ in range(60):
             for step in [*self.proposals]:
                 self.proposals.remove(step)
-                self.finish(step, self.commit(step.detail))
-            for step in [*self.questions]:
-                self.questions.remove(step)
-                self.finish(step, self.word(step))
+                self.finish_step(step, self.commit(step.detail))
+            for step in [*self.queries]:
+                self.queries.remove(step)
+                self.finish_step(step, self.make_reply(step))
             for step in [*self.dispatches]:
                 self.dispatches.remove(step)
-                self.finish(step, True)
+                self.finish_step(step, True)
             for step in [*self.runs]:
                 self.runs.remove(step)
-                self.finish(step, RunEnd(Outcome.UNKNOWN))
+                self.finish_step(step, RunEnd(Outcome.UNKNOWN))
             self.loop.virtual_seconds += 2.0
-            self.spin()
-        living = [process for process in self.processes.values() if not process.dead]
+            self.run_pending_tasks()
+        live_processes = [
+            process for process in self.processes.values() if not process.dead
+        ]
         try:
-            for process in living:
-                assert all(task.done() for task in process.tasks), "never told"
-                assert process.keyed.unsettled == 0, "the log never heard the end"
+            for process in live_processes:
+                assert all(task.done() for task in process.tasks), "no outcome"
+                assert process.keyed.unsettled == 0, "claims are left unsettled"
                 for task in process.tasks:
                     assert task.cancelled() or task.exception() is None
         finally:
             tasks = asyncio.all_tasks(self.loop)
             for task in tasks:
                 task.cancel()
-            self.spin()
+            self.run_pending_tasks()
             self.loop.close()
 
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -250,7 +250,7 @@
     body=json_like | near_misses | near_misses | st.binary(max_size=40),
     cut=st.integers(0, 3),
 )
-async def test_no_body_breaks_the_port(instance, path, body, cut):
+async def test_arbitrary_bodies_get_a_valid_answer(instance, path, body, cut):
     key = KEY if path.startswith("/tree") else PLATFORM_KEY
     encoded = body if isinstance(body, bytes) else json.dumps(body).encode()
     status, answer = await call(instance, "POST", path, encoded[: -cut or None], key)
