--- a/sesameford/errors.py
+++ b/sesameford/errors.py
@@ -35,7 +35,7 @@
     """Nothing of the request reached a target.
 
     Args:
-        reason: A short, stable word for programs, such as ``queue-full``.
+        reason: A short, stable identifier for programs, such as ``queue-full``.
         detail: A sentence for people.
         status: The HTTP status code for the caller.
         retry_after_seconds: Seconds until a retry makes sense, or None if unknown.
@@ -59,7 +59,7 @@
     """The request may have run; its answer is lost or incomplete.
 
     Args:
-        reason: A short, stable word for programs, such as ``target-lost``.
+        reason: A short, stable identifier for programs, such as ``target-lost``.
         detail: A sentence for people.
         status: The HTTP status code for the caller.
     """
