--- a/sesameford/early_answers.py
+++ b/sesameford/early_answers.py
@@ -202,7 +202,7 @@
 def _close_after_answer(
     transport: asyncio.Transport, head: _Head, loop: asyncio.AbstractEventLoop
 ) -> None:
-    """Close a connection after an answer, once its request was read.
+    """Close a connection after an answer, delayed if its request is incomplete.
 
     Closing it with unread bytes would reset it, and the caller could lose the answer.
     """
