--- a/sesameford/gateway/gateway_node.py
+++ b/sesameford/gateway/gateway_node.py
@@ -31,7 +31,7 @@
 from sesameford.gateway.calls import WireAdapter
 from sesameford.gateway.cold_permits import make_cold_permits
 from sesameford.gateway.fleet_sums import LiveInstances
-from sesameford.gateway.forward import CONNECT_SECONDS, make_sender
+from sesameford.gateway.forward import CONNECT_TIMEOUT_SECONDS, make_sender
 from sesameford.gateway.gateway_metrics import make_gateway_metrics
 from sesameford.gateway.load_report import REPORT_SECONDS
 from sesameford.gateway.load_system import make_load_system
@@ -151,7 +151,7 @@
             self._send_log,
             self._now,
             seed=seed,
-            renew=self._new_machines,
+            make_initial_machines=self._new_machines,
         )
         self.operator_calls = make_operator_calls(
             self._log.propose, lambda: self._machine, self._data_centres, self._now
@@ -215,7 +215,7 @@
             is_crowded: Returns whether few free connections for callers are left.
         """
         loop = asyncio.get_running_loop()
-        self._session = make_session(None, IDLE_SECONDS, CONNECT_SECONDS)
+        self._session = make_session(None, IDLE_SECONDS, CONNECT_TIMEOUT_SECONDS)
         return GatewayDeps(
             self._wire_adapter,
             make_sender(self._session, self._wire_adapter),
@@ -322,7 +322,7 @@
 
     def _new_machines(self) -> tuple[StateMachine, ...]:
         """Return the log's state machines in their initial state."""
-        self._machine = TreeMachine(self._tree.committed)
+        self._machine = TreeMachine(self._tree.handle_commit)
         return (self._machine, ClaimsMachine(), FencingMachine())
 
     # --- periodic tasks -------------------------------------------------------
@@ -346,7 +346,7 @@
                 self._roster.log_peer_ids(self._log.is_empty()),
                 may_found=self._roster.may_found(),
             )
-            self._log.set_wanted_voters(self._log.succession(now_seconds))
+            self._log.set_desired_voters(self._log.choose_voters(now_seconds))
             self._log.tick(now_seconds)
         for peer_id in self._links.redial_silent_peers(now_seconds):
             self._send_hello(peer_id)
@@ -443,9 +443,9 @@
             case FleetLoad():
                 self.load.heard(sender_id, message, now_seconds)
             case TreeSteps() | TreeSnapshot() | TreeRequest():
-                self._tree.received(sender_id, message)
+                self._tree.handle_message(sender_id, message)
             case LogPayload() | ProposalRequest() | ProposalReply():
-                self._log.received(sender_id, incarnation, message, now_seconds)
+                self._log.handle_message(sender_id, incarnation, message, now_seconds)
             case _:
                 raise PeerError(f"unexpected message {type(message).__name__}")
 
--- a/sesameford/instance.py
+++ b/sesameford/instance.py
@@ -56,7 +56,7 @@
 from sesameford.traces import make_tracer, make_tracer_provider
 from sesameford.tree_changes import HistoryEntry, TreeMachine
 from sesameford.tree_holder import TreeHolderDeps, make_tree_holder
-from sesameford.voters import wanted_voters
+from sesameford.voters import desired_voters
 
 logger = logging.getLogger(__name__)
 
@@ -154,7 +154,7 @@
             self._send_log,
             self._now,
             seed=crc32(settings.instance_id.encode()) ^ self.incarnation,
-            renew=self._new_machines,
+            make_initial_machines=self._new_machines,
         )
         self._words = OwnerQueries(settings.instance_id, self._send)
         self.outcomes = Outcomes(
@@ -204,7 +204,7 @@
 
     def _new_machines(self) -> tuple[StateMachine, ...]:
         """Return the log's state machines in their first state."""
-        self._machine = TreeMachine(self.tree.committed)
+        self._machine = TreeMachine(self.tree.handle_commit)
         return (self._machine, ClaimsMachine(), FencingMachine())
 
     async def start(self) -> None:
@@ -281,7 +281,7 @@
     def _configure(self, tree: EffectiveTree) -> None:
         self.router.configure(tree)
         self.outcomes.configure(tree)
-        self._log.set_wanted_voters(wanted_voters(tree, self._replica_ids))
+        self._log.set_desired_voters(desired_voters(tree, self._replica_ids))
         own = tree.instances.get(self._settings.instance_id)
         is_drained = own is not None and own.drain
         if self._stop.drained(is_drained, self._now()):
@@ -385,7 +385,7 @@
             platform_key_digest=self._settings.platform_key_digest,
             store=lambda: self.tree.store,
             propose=self._log.propose,
-            caught_up=self.tree.caught_up,
+            caught_up=self.tree.wait_for_revision,
             local_history=self._local_history,
             status=self._status,
             announce=self._announce,
