--- a/sesameford/gateway/serve.py
+++ b/sesameford/gateway/serve.py
@@ -4,7 +4,7 @@
 
 from aiohttp import web
 
-from sesameford.early_answers import take_decision
+from sesameford.early_answers import pop_decision
 from sesameford.event_stream import EventStream
 from sesameford.gateway.admit import admit_call, make_call_context
 from sesameford.gateway.call_context import (
@@ -53,7 +53,7 @@
     Raises:
         CancelledError: The caller left.
     """
-    early: EarlyCall | None = take_decision(request)
+    early: EarlyCall | None = pop_decision(request)
     call = early.call if early is not None else None
     arrived_at_seconds = early.arrived_at_seconds if early is not None else deps.now()
     context = None
