--- a/sesameford/inbox.py
+++ b/sesameford/inbox.py
@@ -78,9 +78,9 @@
             case SuspectUpdate():
                 deps.outcomes.merge_suspect_update(message, now_seconds)
             case StoredAnswerQuery():
-                deps.owner_queries.asked(sender_id, message, deps.keyed)
+                deps.owner_queries.handle_query(sender_id, message, deps.keyed)
             case StoredAnswer():
-                deps.owner_queries.received(message)
+                deps.owner_queries.handle_answer(message)
             case ModelUseQuery():
                 deps.orders.handle_model_use_query(sender_id, message)
             case ModelUse():
--- a/standins/virtual_loop.py
+++ b/standins/virtual_loop.py
@@ -1,8 +1,8 @@
 """The loop of one router in virtual time: each call costs it processor time.
 
-What a router decides is the product's own ``decide``. Callers wait in the listener's
-backlog until the loop takes them, leave when nobody reads them, and the router's other
-work (its reports, what it is sent) waits behind them.
+What a router decides is the product's own ``admit_call``. Callers wait in the
+listener's backlog until the loop takes them, leave when nobody reads them, and the
+router's other work (its reports, what it is sent) waits behind them.
 """
 
 from collections import deque
@@ -12,7 +12,7 @@
 from random import Random
 from typing import cast
 
-from sesameford.gateway.admit import decide
+from sesameford.gateway.admit import admit_call
 from sesameford.gateway.call_context import GatewayDeps, GatewayState, Refusal
 from sesameford.gateway.calls import Call, Prompt, WireAdapter
 from sesameford.gateway.forward import Sender
@@ -22,7 +22,7 @@
 from sesameford.gateway.placement import Placement
 from sesameford.gateway.second_sends import make_second_sends
 from sesameford.http_ports import BACKLOG_CONNECTIONS
-from sesameford.listener import ACCEPTED_A_TURN
+from sesameford.listener import MAX_ACCEPTS_PER_TURN
 from sesameford.settings import RetryBudgetSettings
 
 # Callers whose connection is not read for so long give up.
@@ -110,7 +110,7 @@
 
     def _accepted(self) -> list[WaitingCall]:
         """Return the calls that are taken in one turn."""
-        accepted = self._come(self.backlog)[:ACCEPTED_A_TURN]
+        accepted = self._come(self.backlog)[:MAX_ACCEPTS_PER_TURN]
         read = self._come(self.readable)
         for _ in accepted:
             self.backlog.popleft()
@@ -146,7 +146,7 @@
             "id", "POST", call.host, call.path, (), call.customer, None, prompt
         )
         try:
-            decide(self.deps, asked, self.clock_seconds)
+            admit_call(self.deps, asked, self.clock_seconds)
         except Refusal:
             return False
         return True
