--- a/sesameford/gateway/gateway_node.py
+++ b/sesameford/gateway/gateway_node.py
@@ -261,7 +261,7 @@
 
     def request_stop(self) -> None:
         """Begin a planned stop; a repeated call does not cut it short."""
-        self._stop.ask(self._now())
+        self._stop.request(self._now())
         self._send_heartbeats()
 
     async def close(self) -> None:
--- a/sesameford/instance.py
+++ b/sesameford/instance.py
@@ -247,7 +247,7 @@
 
     def request_stop(self) -> None:
         """Begin a planned stop; asked again it cuts nothing."""
-        self._stop.ask(self._now())
+        self._stop.request(self._now())
         self._tell_stop()
 
     def _tell_stop(self) -> None:
@@ -282,7 +282,7 @@
         self._log.set_desired_voters(desired_voters(tree, self._replica_ids))
         own = tree.instances.get(self._settings.instance_id)
         is_drained = own is not None and own.drain
-        if self._stop.drained(is_drained, self._now()):
+        if self._stop.apply_drain_setting(is_drained, self._now()):
             self._tell_stop()
 
     def _make_contexts(self) -> _Contexts:
--- a/sesameford/planned_stop.py
+++ b/sesameford/planned_stop.py
@@ -32,9 +32,9 @@
         return self._state.step
 
     @property
-    def asked(self) -> int:
+    def request_count(self) -> int:
         """Return how often the stop was asked for."""
-        return self._state.asked
+        return self._state.request_count
 
     @property
     def is_ready(self) -> bool:
@@ -46,16 +46,16 @@
         """Return whether new requests are still served."""
         return accepts_requests(self._state)
 
-    def ask(self, now_seconds: float) -> None:
+    def request(self, now_seconds: float) -> None:
         """Begin a planned stop; asked again it cuts nothing."""
         self._state = request_stop(self._state, now_seconds)
-        logger.info("a stop was asked for", extra={"asked": self._state.asked})
+        logger.info("a stop was asked for", extra={"asked": self._state.request_count})
 
-    def drained(self, is_drained: bool, now_seconds: float) -> bool:
+    def apply_drain_setting(self, is_drained: bool, now_seconds: float) -> bool:
         """Follow the tree; return whether it has just asked for a stop."""
         is_asked = is_drained and not self._is_drained
         if is_asked:
-            self.ask(now_seconds)
+            self.request(now_seconds)
         elif self._is_drained and not is_drained:
             self._state = cancel_stop(self._state)
         self._is_drained = is_drained
--- a/sesameford/stops.py
+++ b/sesameford/stops.py
@@ -20,13 +20,13 @@
 class StopState:
     """A planned stop in progress.
 
-    ``asked`` counts the signals, for the log only: an impatient second signal
+    ``request_count`` counts the signals, for the log only: an impatient second signal
     would otherwise cut the requests that the first one waits for.
     """
 
     step: StopStep = StopStep.SERVING
     since_seconds: float = 0.0
-    asked: int = 0
+    request_count: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,8 +45,8 @@
 def request_stop(state: StopState, now_seconds: float) -> StopState:
     """Begin a planned stop; asked again it changes nothing but the count."""
     if state.step is StopStep.SERVING:
-        return StopState(StopStep.UNREADY, now_seconds, asked=1)
-    return replace(state, asked=state.asked + 1)
+        return StopState(StopStep.UNREADY, now_seconds, request_count=1)
+    return replace(state, request_count=state.request_count + 1)
 
 
 def cancel_stop(state: StopState) -> StopState:
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -22,6 +22,6 @@
     assert apply(1, False) is StopStep.SERVING
     assert apply(2, True) is StopStep.UNREADY
     assert apply(3, True) is StopStep.UNREADY
-    assert instance._stop.asked == 1
+    assert instance._stop.request_count == 1
     assert apply(4, False) is StopStep.SERVING
     assert apply(5, True) is StopStep.UNREADY
