--- a/sesameford/gateway/gateway_node.py
+++ b/sesameford/gateway/gateway_node.py
@@ -426,7 +426,9 @@
                 self._raise_incarnation(message.highest_incarnation)
             case Heartbeat():
                 self._roster.record_heartbeat(sender_id, now_seconds)
-                self._members.heard(sender_id, incarnation, message, now_seconds)
+                self._members.handle_heartbeat(
+                    sender_id, incarnation, message, now_seconds
+                )
             case HeartbeatRows() | RecentHeartbeats() | HeartbeatRowsRequest():
                 self._send_all(
                     self.table.handle_message(sender_id, message, now_seconds)
--- a/sesameford/inbox.py
+++ b/sesameford/inbox.py
@@ -68,7 +68,9 @@
         now_seconds = deps.now()
         match message:
             case Heartbeat():
-                deps.members.heard(sender_id, incarnation, message, now_seconds)
+                deps.members.handle_heartbeat(
+                    sender_id, incarnation, message, now_seconds
+                )
             case TreeSteps() | TreeSnapshot() | TreeRequest():
                 deps.tree.handle_message(sender_id, message)
             case LogPayload() | ProposalRequest() | ProposalReply():
--- a/sesameford/members.py
+++ b/sesameford/members.py
@@ -80,7 +80,11 @@
         if (own.state, own.revision) != (state, revision):
             number = own.change_number + 1
             self._own = replace(
-                own, change_number=number, flips=0, state=state, revision=revision
+                own,
+                change_number=number,
+                silence_count=0,
+                state=state,
+                revision=revision,
             )
             self._put(self._own, self._instance_id)
         return Heartbeat(
@@ -93,7 +97,7 @@
             tuple(sorted(self._heard_places(now_seconds))) if self._is_hub else (),
         )
 
-    def heard(
+    def handle_heartbeat(
         self,
         sender_id: str,
         incarnation: int,
@@ -122,7 +126,7 @@
             self._reachable[sender_id] = frozenset(heartbeat.reachable)
             self._compare(sender_id, heartbeat.members_digest, now_seconds)
 
-    def news_heard(
+    def handle_update(
         self, sender_id: str, news: MembersUpdate, now_seconds: float
     ) -> None:
         """Take rows from a hub."""
@@ -136,12 +140,12 @@
         if news.is_whole:
             self._give_back(sender_id, news)
 
-    def wanted(self, sender_id: str) -> None:
+    def handle_request(self, sender_id: str) -> None:
         """Send the whole table to an instance whose own differs."""
         news = MembersUpdate(tuple(self._rows), is_whole=True)
         self._outgoing.append(Outgoing(sender_id, news))
 
-    def outgoing(
+    def collect_outgoing(
         self, peers: Mapping[str, str], now_seconds: float
     ) -> Sequence[Outgoing]:
         """Return what is due.
@@ -271,7 +275,9 @@
                 continue
             fresh_at_seconds = self._fresh_at_seconds.get(row.instance_id, -inf)
             if now_seconds - fresh_at_seconds > LIVENESS_TIMEOUT_SECONDS:
-                silent = replace(row, flips=row.flips + 1, is_silent=True)
+                silent = replace(
+                    row, silence_count=row.silence_count + 1, is_silent=True
+                )
                 self._put(silent, self._instance_id)
 
     def _rows_for(
@@ -325,7 +331,7 @@
 
 def _stamp(row: MemberRow) -> tuple[int, int, int]:
     """Return what orders rows of one instance."""
-    return row.incarnation, row.change_number, row.flips
+    return row.incarnation, row.change_number, row.silence_count
 
 
 def _digest_of(row: MemberRow) -> int:
--- a/sesameford/messages.py
+++ b/sesameford/messages.py
@@ -118,14 +118,14 @@
 class MemberRow(Struct, frozen=True, array_like=True):
     """What is known of an instance, told on by the hubs.
 
-    ``flips`` counts how often the hubs of its data centre have lost it since its
-    last change; the triple of incarnation and the two counts only grows.
+    ``silence_count`` counts how often the hubs of its data centre have lost it since
+    its last change; the triple of incarnation and the two counts only grows.
     """
 
     instance_id: str
     incarnation: int
     change_number: int
-    flips: int
+    silence_count: int
     is_silent: bool
     data_centre: str
     state: InstanceState
--- a/sesameford/overlay.py
+++ b/sesameford/overlay.py
@@ -110,15 +110,17 @@
                     message.origin_id, message.origin_incarnation, message.payload
                 )
             case MembersUpdate():
-                self._members.news_heard(sender_id, message, now_seconds)
+                self._members.handle_update(sender_id, message, now_seconds)
             case MembersRequest():
-                self._members.wanted(sender_id)
+                self._members.handle_request(sender_id)
             case _:
                 self._deliver(sender_id, incarnation, message)
 
     def tick(self, now_seconds: float) -> None:
         """Tell on what changed among the members."""
-        for outgoing in self._members.outgoing(self._topology.peers, now_seconds):
+        for outgoing in self._members.collect_outgoing(
+            self._topology.peers, now_seconds
+        ):
             self._send(outgoing)
 
     def live_hub(self, now_seconds: float) -> str | None:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -7,9 +7,9 @@
 READY = InstanceState.READY
 
 
-def row(change_number=1, flips=0, is_silent=False, revision=1):
+def row(change_number=1, silence_count=0, is_silent=False, revision=1):
     return MemberRow(
-        "r2", 7, change_number, flips, is_silent, "a", READY, revision, False
+        "r2", 7, change_number, silence_count, is_silent, "a", READY, revision, False
     )
 
 
@@ -19,8 +19,8 @@
     Taken for news, the restarted instance would seem to hold an older tree.
     """
     members = make_members("r1", 1, "a")
-    members.heard("r2", 8, Heartbeat("a", READY, 5, 3), 1.0)
-    members.heard("r2", 7, Heartbeat("a", READY, 4, 9), 1.1)
+    members.handle_heartbeat("r2", 8, Heartbeat("a", READY, 5, 3), 1.0)
+    members.handle_heartbeat("r2", 7, Heartbeat("a", READY, 4, 9), 1.1)
     assert members.live(1.2)["r2"].incarnation == 8
     assert members.highest_revision() == 5
 
@@ -28,9 +28,11 @@
 def test_a_row_from_the_past_changes_nothing():
     """A hub passes on, late, what it knew before the instance was found again."""
     members = make_members("r1", 1, "a", peer_hubs=["h"])
-    members.heard("h", 1, Heartbeat("a", READY, 1, 1, True, 0, ("a",)), 1.0)
-    members.news_heard("h", MembersUpdate((row(change_number=2),)), 1.0)
-    members.news_heard("h", MembersUpdate((row(flips=1, is_silent=True),)), 1.1)
+    members.handle_heartbeat("h", 1, Heartbeat("a", READY, 1, 1, True, 0, ("a",)), 1.0)
+    members.handle_update("h", MembersUpdate((row(change_number=2),)), 1.0)
+    members.handle_update(
+        "h", MembersUpdate((row(silence_count=1, is_silent=True),)), 1.1
+    )
     assert "r2" in members.live(1.2)
 
 
@@ -41,17 +43,19 @@
     instance would ask for the whole table every two seconds.
     """
     members = make_members("r1", 1, "a", peer_hubs=["h"])
-    members.news_heard("h", MembersUpdate((row(is_silent=True, flips=1),)), 1.0)
+    members.handle_update(
+        "h", MembersUpdate((row(is_silent=True, silence_count=1),)), 1.0
+    )
     hub = make_members("h", 2, "a", is_hub=True)
-    hub.heard("r1", 1, members.heartbeat(READY, 1, 2.0), 2.0)
-    hub.wanted("r1")
-    (whole,) = [one.message for one in hub.outgoing({}, 2.0)]
-    members.news_heard("h", whole, 2.1)
-    (back,) = [one.message for one in members.outgoing({"h": "a"}, 2.2)]
-    hub.news_heard("r1", back, 2.3)
+    hub.handle_heartbeat("r1", 1, members.heartbeat(READY, 1, 2.0), 2.0)
+    hub.handle_request("r1")
+    (whole,) = [one.message for one in hub.collect_outgoing({}, 2.0)]
+    members.handle_update("h", whole, 2.1)
+    (back,) = [one.message for one in members.collect_outgoing({"h": "a"}, 2.2)]
+    hub.handle_update("r1", back, 2.3)
     assert [one.instance_id for one in hub.all(2.4)] == ["r1", "r2"]
     digest = hub.heartbeat(InstanceState.STARTING, 0, 2.5).members_digest
-    members.heard("h", 2, hub.heartbeat(InstanceState.STARTING, 0, 2.5), 2.5)
-    members.heard("h", 2, hub.heartbeat(InstanceState.STARTING, 0, 5.5), 5.5)
+    members.handle_heartbeat("h", 2, hub.heartbeat(InstanceState.STARTING, 0, 2.5), 2.5)
+    members.handle_heartbeat("h", 2, hub.heartbeat(InstanceState.STARTING, 0, 5.5), 5.5)
     assert digest != 0
-    assert members.outgoing({"h": "a"}, 5.6) == []
+    assert members.collect_outgoing({"h": "a"}, 5.6) == []
--- a/tests/test_members_fuzz.py
+++ b/tests/test_members_fuzz.py
@@ -51,7 +51,7 @@
 
     def take(self, world, origin, incarnation, message):
         if isinstance(message, Heartbeat):
-            self.members.heard(origin, incarnation, message, world.now)
+            self.members.handle_heartbeat(origin, incarnation, message, world.now)
         else:
             self.delivered.append((origin, message))
 
