--- a/sesameford/election.py
+++ b/sesameford/election.py
@@ -13,13 +13,13 @@
 
 from sesameford.tables import InstanceRow, InstanceState, Target
 
-SILENT_SECONDS = 3.0
-START_SECONDS = 1.0
-UNFIT_SECONDS = 10.0
+INSTANCE_TIMEOUT_SECONDS = 3.0
+STARTUP_FOLLOW_SECONDS = 1.0
+UNRESPONSIVE_EXCLUSION_SECONDS = 10.0
 # One that has restarted only follows for its first second and answers after that. Left
 # out for as long as one that hears nobody, it would serve beside its successor, and
 # targets would get twice what they have slots for until views agree again.
-RESTARTED_UNFIT_SECONDS = 2.0
+RESTARTED_EXCLUSION_SECONDS = 2.0
 
 Rank = tuple[bool, int, str]
 
@@ -52,7 +52,7 @@
         """Take the present table of other instances."""
         self._instances = instances
 
-    def mark_unfit(
+    def exclude_unresponsive(
         self, instance_id: str, known_incarnation: int | None, now_seconds: float
     ) -> None:
         """Pass over an instance that is heard but does not answer.
@@ -71,7 +71,11 @@
             and known_incarnation is not None
             and present.incarnation > known_incarnation
         )
-        unfit_seconds = RESTARTED_UNFIT_SECONDS if has_restarted else UNFIT_SECONDS
+        unfit_seconds = (
+            RESTARTED_EXCLUSION_SECONDS
+            if has_restarted
+            else UNRESPONSIVE_EXCLUSION_SECONDS
+        )
         self._unfit_until[instance_id] = now_seconds + unfit_seconds
 
     def allocator(self, may_serve: bool, now_seconds: float) -> str | None:
@@ -88,14 +92,14 @@
             for instance in self._ready(now_seconds)
             if instance.data_centre == self._data_centre
         ]
-        if now_seconds < self._started_at_seconds + START_SECONDS:
+        if now_seconds < self._started_at_seconds + STARTUP_FOLLOW_SECONDS:
             before = [rank for rank in ranks if rank < self._rank]
             return min(before)[-1] if before else None
         if may_serve or not ranks:
             ranks.append(self._rank)
         return min(ranks)[-1]
 
-    def others(self, now_seconds: float) -> dict[str, str]:
+    def remote_allocators(self, now_seconds: float) -> dict[str, str]:
         """Return the allocators of the other data centres."""
         elected: dict[str, Rank] = {}
         for instance in self._ready(now_seconds):
@@ -105,7 +109,7 @@
                 elected[place] = min(elected.get(place, rank), rank)
         return {place: rank[-1] for place, rank in elected.items()}
 
-    def neighbours(self, now_seconds: float) -> list[str]:
+    def live_local_instances(self, now_seconds: float) -> list[str]:
         """Return the other instances heard in the own data centre."""
         return [
             instance.instance_id
@@ -114,7 +118,9 @@
             and self._is_heard(instance, now_seconds)
         ]
 
-    def owners(self, targets: Iterable[Target], now_seconds: float) -> dict[str, str]:
+    def allocating_data_centres(
+        self, targets: Iterable[Target], now_seconds: float
+    ) -> dict[str, str]:
         """Return which data centre deals out each target's slots.
 
         Targets of a data centre without instances would idle; the first data
@@ -135,7 +141,7 @@
         }
 
     def _is_heard(self, instance: InstanceRow, now_seconds: float) -> bool:
-        return now_seconds - instance.last_seen_at_seconds < SILENT_SECONDS
+        return now_seconds - instance.last_seen_at_seconds < INSTANCE_TIMEOUT_SECONDS
 
     def _ready(self, now_seconds: float) -> list[InstanceRow]:
         """Return the other instances that could serve as allocators."""
--- a/sesameford/leased.py
+++ b/sesameford/leased.py
@@ -118,15 +118,15 @@
             left_seconds = link.lease_expires_at_seconds - now_seconds
             is_old = now_seconds - link.opened_at_seconds > LEASE_SECONDS
             if left_seconds < SUSPECT_SECONDS and is_old:
-                self._election.mark_unfit(
+                self._election.exclude_unresponsive(
                     link.receiver_id, link.receiver_incarnation, now_seconds
                 )
         elected = self._election.allocator(may_serve, now_seconds)
-        others = self._election.others(now_seconds)
+        others = self._election.remote_allocators(now_seconds)
         serves = elected == self._instance_id
         if serves and not self._allocator.active:
             expected = [
-                *self._election.neighbours(now_seconds),
+                *self._election.live_local_instances(now_seconds),
                 *others.values(),
                 self._instance_id,
             ]
@@ -137,7 +137,9 @@
             self._allocator.deactivate()
         if self._allocator.active:
             self._allocator.observe_places(others, now_seconds)
-        owners = self._election.owners(self._state.targets.values(), now_seconds)
+        owners = self._election.allocating_data_centres(
+            self._state.targets.values(), now_seconds
+        )
         self._allocator.observe_targets(
             self._state.targets, self._state.pool_of, owners
         )
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -1,9 +1,9 @@
 """Which instance is a data centre's allocator, by one instance's view."""
 
 from sesameford.election import (
-    RESTARTED_UNFIT_SECONDS,
-    START_SECONDS,
-    UNFIT_SECONDS,
+    RESTARTED_EXCLUSION_SECONDS,
+    STARTUP_FOLLOW_SECONDS,
+    UNRESPONSIVE_EXCLUSION_SECONDS,
     Election,
 )
 from sesameford.tables import InstanceRow, InstanceState
@@ -25,9 +25,9 @@
     """An allocator hears nobody while its heartbeats still arrive."""
     election = Election("e2", "a", 5)
     assert follow(election, 1, 10.0) == "e0"
-    election.mark_unfit("e0", 1, 11.0 + START_SECONDS)
-    assert follow(election, 1, 11.0 + UNFIT_SECONDS) == "e2"
-    assert follow(election, 1, 12.1 + UNFIT_SECONDS) == "e0"
+    election.exclude_unresponsive("e0", 1, 11.0 + STARTUP_FOLLOW_SECONDS)
+    assert follow(election, 1, 11.0 + UNRESPONSIVE_EXCLUSION_SECONDS) == "e2"
+    assert follow(election, 1, 12.1 + UNRESPONSIVE_EXCLUSION_SECONDS) == "e0"
 
 
 def test_one_that_has_restarted_is_followed_again_soon():
@@ -40,6 +40,6 @@
     election = Election("e2", "a", 5)
     assert follow(election, 1, 10.0) == "e0"
     election.observe(observed(3, 12.0))
-    election.mark_unfit("e0", 1, 12.0)
+    election.exclude_unresponsive("e0", 1, 12.0)
     assert follow(election, 3, 12.5) == "e2"
-    assert follow(election, 3, 12.1 + RESTARTED_UNFIT_SECONDS) == "e0"
+    assert follow(election, 3, 12.1 + RESTARTED_EXCLUSION_SECONDS) == "e0"
