--- a/sesameford/tree_holder.py
+++ b/sesameford/tree_holder.py
@@ -21,15 +21,15 @@
 
     Args:
         send: Sends a message.
-        in_force: Called with each effective tree that comes into force.
-        live: Returns the other live instances by id.
+        on_tree_in_force: Called with each effective tree that comes into force.
+        live_instances: Returns the other live instances by id.
         is_leader: Returns whether this instance leads the replicated log.
         now: Returns the present time in seconds.
     """
 
     send: Callable[[Outgoing], None]
-    in_force: Callable[[EffectiveTree], None]
-    live: Callable[[], Mapping[str, InstanceRow]]
+    on_tree_in_force: Callable[[EffectiveTree], None]
+    live_instances: Callable[[], Mapping[str, InstanceRow]]
     is_leader: Callable[[], bool]
     now: Callable[[], float]
 
@@ -58,7 +58,7 @@
         deps = self._deps
         self._send(
             self._replication.handle_commit(
-                machine.store, deps.is_leader(), deps.live()
+                machine.store, deps.is_leader(), deps.live_instances()
             )
         )
         self._schedule_slice()
@@ -72,7 +72,7 @@
         deps = self._deps
         self._send(
             self._replication.handle_message(
-                sender_id, message, deps.live(), deps.now()
+                sender_id, message, deps.live_instances(), deps.now()
             )
         )
         self._schedule_slice()
@@ -80,12 +80,14 @@
     def tick(self) -> None:
         """Request a newer tree if one exists; called about ten times a second."""
         self._send(
-            self._replication.collect_requests(self._deps.live(), self._deps.now())
+            self._replication.collect_requests(
+                self._deps.live_instances(), self._deps.now()
+            )
         )
 
     def is_ready(self) -> bool:
         """Return whether this instance may serve under its present tree."""
-        return self._replication.is_ready(self._deps.live(), self._deps.now())
+        return self._replication.is_ready(self._deps.live_instances(), self._deps.now())
 
     async def wait_for_revision(self, revision: int, limit_seconds: float) -> bool:
         """Wait until a revision or a newer one is in force here.
@@ -125,7 +127,7 @@
         self._is_slice_scheduled = False
         in_force = self._replication.in_force
         if in_force.recompute_slice():
-            self._deps.in_force(in_force.tree)
+            self._deps.on_tree_in_force(in_force.tree)
             logger.info(
                 "tree in force",
                 extra={
