--- a/sesameford/instance.py
+++ b/sesameford/instance.py
@@ -383,7 +383,7 @@
             platform_key_digest=self._settings.platform_key_digest,
             store=lambda: self.tree.store,
             propose=self._log.propose,
-            caught_up=self.tree.wait_for_revision,
+            wait_for_revision=self.tree.wait_for_revision,
             local_history=self._local_history,
             status=self._status,
             announce=self._announce,
--- a/sesameford/operators.py
+++ b/sesameford/operators.py
@@ -26,11 +26,11 @@
 from sesameford.messages import TargetAnnouncement
 from sesameford.operators_http import (
     Problem,
-    answering,
     bearer_digest,
-    in_slices,
     json_response,
     read_body,
+    run_in_slices,
+    with_problem_responses,
 )
 from sesameford.settings import OperatorKey
 from sesameford.state_machine import Propose
@@ -91,7 +91,7 @@
     platform_key_digest: str | None
     store: Callable[[], TreeStore]
     propose: Propose
-    caught_up: Callable[[int, float], Awaitable[bool]]
+    wait_for_revision: Callable[[int, float], Awaitable[bool]]
     local_history: Callable[[int], Sequence[HistoryEntry] | None]
     status: Callable[[], StatusReport]
     announce: Callable[[TargetAnnouncement], bool]
@@ -145,7 +145,7 @@
         _operator(deps, request)
         store = deps.store()
         revision = store.revision
-        declared = await in_slices(render_tree_in_slices(store.copy()))
+        declared = await run_in_slices(render_tree_in_slices(store.copy()))
         return json_response({"revision": revision, "declared": declared})
 
     async def get_effective(request: web.Request) -> web.Response:
@@ -178,14 +178,14 @@
         return json_response({"target_id": body.target_id})
 
     return [
-        web.post("/tree/changes", answering(post_change)),
-        web.post("/tree/evacuations", answering(post_evacuation)),
-        web.get("/tree", answering(get_tree)),
-        web.get("/tree/effective", answering(get_effective)),
-        web.get("/tree/history", answering(get_history)),
-        web.get("/status", answering(get_status)),
-        web.post("/targets/announce", answering(post_announce)),
-        web.post("/targets/leave", answering(post_leave)),
+        web.post("/tree/changes", with_problem_responses(post_change)),
+        web.post("/tree/evacuations", with_problem_responses(post_evacuation)),
+        web.get("/tree", with_problem_responses(get_tree)),
+        web.get("/tree/effective", with_problem_responses(get_effective)),
+        web.get("/tree/history", with_problem_responses(get_history)),
+        web.get("/status", with_problem_responses(get_status)),
+        web.post("/targets/announce", with_problem_responses(post_announce)),
+        web.post("/targets/leave", with_problem_responses(post_leave)),
     ]
 
 
@@ -207,7 +207,7 @@
     """
     _check_change(body)
     try:
-        declared = await in_slices(parse_tree_in_slices(body.declared, "declared"))
+        declared = await run_in_slices(parse_tree_in_slices(body.declared, "declared"))
     except TreeError as error:
         raise Problem(
             422,
@@ -219,7 +219,7 @@
         ) from error
     # The difference is worked out against the tree held here, so this instance
     # must have heard of the revision that the operator started from.
-    await deps.caught_up(body.base_revision, CATCH_UP_SECONDS)
+    await deps.wait_for_revision(body.base_revision, CATCH_UP_SECONDS)
     store = deps.store()
     command = make_tree_change(
         store,
@@ -231,7 +231,7 @@
     )
     answer = decode_answer(await _propose(deps, body.change_id, command))
     if answer.status == ACCEPTED:
-        await deps.caught_up(answer.revision, CATCH_UP_SECONDS)
+        await deps.wait_for_revision(answer.revision, CATCH_UP_SECONDS)
     return _change_result(body, answer)
 
 
@@ -264,7 +264,7 @@
         raise Problem(404, "no-such-data-centre", detail) from error
     except LogError as error:
         raise Problem(503, "no-quorum", f"{error}; send it again") from error
-    await deps.caught_up(answer.revision, CATCH_UP_SECONDS)
+    await deps.wait_for_revision(answer.revision, CATCH_UP_SECONDS)
     return _decided(body.change_id, answer)
 
 
--- a/sesameford/operators_http.py
+++ b/sesameford/operators_http.py
@@ -38,7 +38,7 @@
         }
 
 
-def answering(handler: Handler) -> Handler:
+def with_problem_responses(handler: Handler) -> Handler:
     """Return a handler that turns problems into their answers."""
 
     async def answer(request: web.Request) -> web.StreamResponse:
@@ -97,7 +97,7 @@
         raise Problem(400, "bad-body", str(error)) from error
 
 
-async def in_slices(work: SlicedWork[Result]) -> Result:
+async def run_in_slices(work: SlicedWork[Result]) -> Result:
     """Do sliced work, letting the loop do other work in between."""
     while True:
         try:
--- a/tests/operators_fixture.py
+++ b/tests/operators_fixture.py
@@ -43,7 +43,7 @@
         self.proposals += 1
         return self.machine.apply(self.proposals, command)
 
-    async def caught_up(self, revision, seconds):
+    async def wait_for_revision(self, revision, seconds):
         return self.machine.store.revision >= revision
 
     def status(self):
@@ -74,7 +74,7 @@
             platform_key_digest=digest(PLATFORM_KEY),
             store=lambda: self.machine.store,
             propose=self.propose,
-            caught_up=self.caught_up,
+            wait_for_revision=self.wait_for_revision,
             local_history=lambda before: self.machine.history(before),
             status=self.status,
             announce=self.announce,
