--- a/sesameford/daemon.py
+++ b/sesameford/daemon.py
@@ -1,4 +1,4 @@
-"""``sesamefordd``: the daemon. One instance of the system, one loop, one thread."""
+"""``sesamefordd``, the daemon: one instance on one event loop in one thread."""
 
 import asyncio
 import signal
@@ -23,24 +23,24 @@
 
 
 class InstanceService(Service):
-    """Runs an instance under aiomisc's entry point until its planned stop is over."""
+    """Runs an instance under aiomisc's entry point until its planned stop ends."""
 
     settings: DaemonSettings
     source: str
 
     async def start(self) -> None:
-        """Compose and start the instance, and take stop signals from here on."""
+        """Create and start the instance, and install its signal handlers."""
         self.instance = Instance(self.settings, self.source)
         for number in STOP_SIGNALS:
             self.loop.add_signal_handler(number, self.instance.request_stop)
         await self.instance.start()
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Close what is open."""
+        """Close the instance."""
         await self.instance.close()
 
     async def finished(self) -> None:
-        """Wait until a planned stop has let all running requests end."""
+        """Wait until the planned stop has ended, after all running requests."""
         await self.instance.stopped.wait()
 
 
@@ -81,12 +81,12 @@
 
 
 def _run(settings: DaemonSettings, source: str) -> None:
-    """Run an instance until its planned stop is over."""
+    """Run an instance until its planned stop ends."""
     configure_logging(settings)
     service = InstanceService(settings=settings, source=source)
     asyncio.set_event_loop_policy(uvloop.EventLoopPolicy())
-    # aiomisc would end the services at the first signal and cut what still runs
-    # after a minute. The signals are the instance's own business instead.
+    # aiomisc would stop the services at the first signal and abort running requests
+    # after a minute. The instance handles the signals itself instead.
     with entrypoint(service, log_config=False, catch_signals=(), pool_size=1) as loop:
         loop.run_until_complete(service.finished())
 
--- a/sesameford/instance.py
+++ b/sesameford/instance.py
@@ -1,4 +1,4 @@
-"""One instance of the system: its tables, its systems and the links between them."""
+"""One instance of the system: it composes the parts and runs their periodic tasks."""
 
 import asyncio
 import logging
@@ -62,7 +62,7 @@
 
 TICK_SECONDS = 0.05
 HEARTBEAT_SECONDS = 1.0
-# A hub's beats carry what it passes on, which must not grow old on the way.
+# A hub's heartbeats also carry the state that it relays, which must stay recent.
 HUB_HEARTBEAT_SECONDS = 0.5
 TLS_RELOAD_SECONDS = 5.0
 CALLERS_BODY_LIMIT_BYTES = 16_000_000
@@ -72,20 +72,21 @@
 
 @dataclass(frozen=True, slots=True)
 class _Contexts:
-    """TLS contexts of HTTP, None where TLS is not given."""
+    """TLS contexts for HTTP; None without TLS."""
 
     server: Any = None
     client: Any = None
 
 
 class Instance:
-    """Composes the parts of one instance and runs its systems each tick."""
+    """Composes the parts of one instance and runs their periodic tasks."""
 
     def __init__(self, settings: DaemonSettings, source: str) -> None:
         self._settings = settings
         self._source = source
         self.incarnation = time_ns() // 1_000_000
-        # The loop's own clock stands still within a turn and counts milliseconds.
+        # The event loop's clock is not used: it is constant within one iteration and
+        # has a resolution of milliseconds.
         self._now: Callable[[], float] = monotonic
         self._control_time = ProcessorTime()
         self.metrics = Metrics()
@@ -142,7 +143,7 @@
                 self._now,
             ),
         )
-        machines = self._new_machines()
+        machines = self._make_machines()
         peer_ids = tuple(peer.instance_id for peer in settings.peers if peer.has_disk)
         own_ids = (settings.instance_id,) if settings.data_folder else ()
         self._replica_ids = own_ids + peer_ids
@@ -154,13 +155,15 @@
             self._send_log,
             self._now,
             seed=crc32(settings.instance_id.encode()) ^ self.incarnation,
-            make_initial_machines=self._new_machines,
+            make_initial_machines=self._make_machines,
         )
-        self._words = OwnerQueries(settings.instance_id, self._send)
+        self._owner_queries = OwnerQueries(settings.instance_id, self._send)
         self.outcomes = Outcomes(
             crc32(settings.instance_id.encode()) ^ self.incarnation, self._send
         )
-        ports = KeyedPorts(self._log.propose, self._words.ask, asyncio.sleep, time)
+        ports = KeyedPorts(
+            self._log.propose, self._owner_queries.ask, asyncio.sleep, time
+        )
         self.keyed = KeyedRequests(settings.instance_id, self.incarnation, ports)
         self.outcomes.keyed = self.keyed
         self.registry.on_replaced(self.outcomes.record_target_replacement)
@@ -174,7 +177,10 @@
                 lambda: self._session,
                 self._send,
                 lambda: self.members.live(self._now()),
-                lambda: {one.target_id: one for one in self.registry.live(self._now())},
+                lambda: {
+                    target.target_id: target
+                    for target in self.registry.live(self._now())
+                },
                 self._is_ready,
                 self.router.running_of,
                 lambda: self.router.tree,
@@ -189,7 +195,7 @@
                 self.tree,
                 self._log,
                 self.outcomes,
-                self._words,
+                self._owner_queries,
                 self.keyed,
                 self._orders,
                 self.router,
@@ -200,17 +206,17 @@
         self._exit = AsyncExitStack()
         self._tasks: list[asyncio.Task[None]] = []
 
-    def _new_machines(self) -> tuple[StateMachine, ...]:
-        """Return the log's state machines in their first state."""
+    def _make_machines(self) -> tuple[StateMachine, ...]:
+        """Return the log's state machines in their initial state."""
         self._machine = TreeMachine(self.tree.handle_commit)
         return (self._machine, ClaimsMachine(), FencingMachine())
 
     async def start(self) -> None:
-        """Open the listeners and begin to run the systems.
+        """Open the listeners and start the periodic tasks.
 
         Raises:
             SettingsError: An address can't be listened on.
-            PeerError: The same for the address of the links.
+            PeerError: The address for the links can't be listened on.
         """
         contexts = self._make_contexts()
         self._provider = make_tracer_provider(self._settings)
@@ -230,29 +236,31 @@
             CALLERS_BODY_LIMIT_BYTES,
         )
         operators = web.Application(client_max_size=OPERATORS_BODY_LIMIT_BYTES)
-        operators.add_routes(make_operators_routes(self._operators_deps()))
+        operators.add_routes(make_operators_routes(self._make_operators_deps()))
         self._log.start()
         await self.peers.start()
         addresses = self._settings.listen
         await self._serve(operators, addresses.operators, "operators", contexts.server)
         await self._serve(callers, addresses.callers, "callers", contexts.server)
-        beat_seconds = (
+        heartbeat_seconds = (
             HUB_HEARTBEAT_SECONDS if self._settings.is_hub else HEARTBEAT_SECONDS
         )
         self._tasks += [
             asyncio.create_task(self._run_regularly(TICK_SECONDS, self._tick)),
-            asyncio.create_task(self._run_regularly(beat_seconds, self._beat)),
+            asyncio.create_task(
+                self._run_regularly(heartbeat_seconds, self._send_heartbeat)
+            ),
         ]
         logger.info("started", extra={"incarnation": self.incarnation})
 
     def request_stop(self) -> None:
-        """Begin a planned stop; asked again it cuts nothing."""
+        """Start a planned stop; a repeated request aborts no running work."""
         self._stop.request(self._now())
-        self._tell_stop()
+        self._announce_stop()
 
-    def _tell_stop(self) -> None:
-        """Let the others know at once that no new work is to come here."""
-        self._beat()
+    def _announce_stop(self) -> None:
+        """Notify the other instances at once that this one accepts no new work."""
+        self._send_heartbeat()
         self.peers.flush()
 
     async def close(self) -> None:
@@ -283,7 +291,7 @@
         own = tree.instances.get(self._settings.instance_id)
         is_drained = own is not None and own.drain
         if self._stop.apply_drain_setting(is_drained, self._now()):
-            self._tell_stop()
+            self._announce_stop()
 
     def _make_contexts(self) -> _Contexts:
         tls = self._settings.tls
@@ -312,13 +320,13 @@
             ) from error
 
     async def _run_regularly(
-        self, every_seconds: float, system: Callable[[], None]
+        self, interval_seconds: float, task: Callable[[], None]
     ) -> None:
-        def measured() -> None:
+        def run_measured() -> None:
             with self._control_time.measured():
-                system()
+                task()
 
-        await run_regularly(every_seconds, measured)
+        await run_regularly(interval_seconds, run_measured)
 
     def _send(self, outgoing: Outgoing) -> None:
         self.overlay.send(outgoing, self._now())
@@ -330,7 +338,7 @@
         self.router.tick()
         now_seconds = self._now()
         live = self.members.live(now_seconds)
-        others = frozenset((one.instance_id, one.incarnation) for one in live.values())
+        others = frozenset((row.instance_id, row.incarnation) for row in live.values())
         self.outcomes.tick(others, now_seconds)
         self._log.tick(now_seconds)
         self._send_target_messages()
@@ -348,10 +356,12 @@
                 NotRunError("stopping", "this instance is stopping", 503, 1.0)
             )
 
-    def _beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         now_seconds = self._now()
-        beat = self.members.heartbeat(self._state(), self.tree.revision, now_seconds)
-        self.peers.send(Outgoing(None, beat))
+        heartbeat = self.members.heartbeat(
+            self._state(), self.tree.revision, now_seconds
+        )
+        self.peers.send(Outgoing(None, heartbeat))
         self.targets.beat()
         self._send_target_messages()
         self.overlay.tick(now_seconds)
@@ -377,7 +387,7 @@
         for outgoing in self.targets.outgoing(self._now()):
             self._send(outgoing)
 
-    def _operators_deps(self) -> OperatorsDeps:
+    def _make_operators_deps(self) -> OperatorsDeps:
         return OperatorsDeps(
             operators=self._settings.operators,
             platform_key_digest=self._settings.platform_key_digest,
@@ -386,8 +396,8 @@
             wait_for_revision=self.tree.wait_for_revision,
             local_history=self._local_history,
             status=self._status,
-            announce=self._announce,
-            leave=self._leave,
+            announce=self._handle_announcement,
+            leave=self._handle_leave,
             now=self._now,
             wall_seconds=time,
         )
@@ -397,17 +407,17 @@
             return None
         return self._machine.history(before_revision)
 
-    def _announce(self, news: TargetAnnouncement) -> bool:
-        taken = self.targets.announced(news, self._now())
+    def _handle_announcement(self, announcement: TargetAnnouncement) -> bool:
+        is_newer = self.targets.announced(announcement, self._now())
         self._send_target_messages()
         self.router.tick()
-        return taken
+        return is_newer
 
-    def _leave(self, target_id: str, incarnation: int, sequence: int) -> bool:
-        left = self.targets.left(target_id, incarnation, sequence, self._now())
+    def _handle_leave(self, target_id: str, incarnation: int, sequence: int) -> bool:
+        is_newer = self.targets.left(target_id, incarnation, sequence, self._now())
         self._send_target_messages()
         self.router.tick()
-        return left
+        return is_newer
 
     def _status(self) -> StatusReport:
         own = InstanceSummary(
--- a/sesameford/instance_status.py
+++ b/sesameford/instance_status.py
@@ -1,4 +1,4 @@
-"""Puts together what an instance tells operators of itself and the others."""
+"""Builds the status report of an instance for operators."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceSummary:
-    """What an instance knows of itself."""
+    """The identity, state and tree revision of the reporting instance."""
 
     instance_id: str
     data_centre: str
@@ -32,7 +32,7 @@
 def make_status(
     own: InstanceSummary,
     peers: Sequence[Peer],
-    heard: Sequence[InstanceRow],
+    rows: Sequence[InstanceRow],
     targets: Sequence[Target],
     running: dict[str, int],
     replica: ReplicaLogStatus,
@@ -44,16 +44,16 @@
 
     Args:
         own: The answering instance.
-        peers: The others as the settings name them.
-        heard: The others as their heartbeats told.
-        targets: All targets known.
-        running: Attempts that run from here, by target.
-        replica: The replicated log as seen here.
-        now_seconds: The present time.
-        quarantine: The bodies that are refused.
+        peers: The other instances that the settings list.
+        rows: The other instances as this one's member table records them.
+        targets: All registered targets.
+        running: The number of attempts that this instance runs, by target.
+        replica: The status of the replicated log at this instance.
+        now_seconds: The current time.
+        quarantine: The request bodies that are refused.
         evacuated: The data centres whose targets get no new work.
     """
-    by_id = {one.instance_id: one for one in heard}
+    rows_by_id = {one.instance_id: one for one in rows}
     roles = _roles(own, replica)
     instances = [
         InstanceStatus(
@@ -67,9 +67,9 @@
         )
     ]
     for peer in peers:
-        one = by_id.get(peer.instance_id)
+        row = rows_by_id.get(peer.instance_id)
         role = roles.get(peer.instance_id, "none")
-        instances.append(_peer_status(peer, one, role, now_seconds))
+        instances.append(_peer_status(peer, row, role, now_seconds))
     return StatusReport(
         instance_id=own.instance_id,
         data_centre=own.data_centre,
@@ -86,7 +86,7 @@
 def quarantine_of(
     suspects: Suspects, now_seconds: float
 ) -> tuple[QuarantineStatus, ...]:
-    """Return the bodies that are refused, for how long and after how many deaths."""
+    """Return the refused bodies, each with its target deaths and remaining time."""
     return tuple(
         QuarantineStatus(
             row.body_digest.hex(), len(row.uncleared_crashes), left_seconds
@@ -96,7 +96,7 @@
 
 
 def _roles(own: InstanceSummary, replica: ReplicaLogStatus) -> dict[str, str]:
-    """Return the roles of the other replicas, as far as they are known here."""
+    """Return the roles of the other replicas that this instance has recorded."""
     roles = {
         member.instance_id: "follower" if member.voter else _LEARNER_ROLE
         for member in replica.members
@@ -107,19 +107,19 @@
 
 
 def _peer_status(
-    peer: Peer, one: InstanceRow | None, role: str, now_seconds: float
+    peer: Peer, row: InstanceRow | None, role: str, now_seconds: float
 ) -> InstanceStatus:
-    """Return the line of another instance."""
-    if one is None:
+    """Return the status of another instance."""
+    if row is None:
         return InstanceStatus(
             peer.instance_id, peer.data_centre, None, None, None, False, role
         )
-    ago_seconds = now_seconds - one.last_seen_at_seconds
+    ago_seconds = now_seconds - row.last_seen_at_seconds
     return InstanceStatus(
         peer.instance_id,
         peer.data_centre,
-        one.state,
-        one.revision,
+        row.state,
+        row.revision,
         ago_seconds,
         ago_seconds <= LIVENESS_TIMEOUT_SECONDS,
         role,
@@ -129,7 +129,7 @@
 def _target_status(
     target: Target, running: dict[str, int], now_seconds: float
 ) -> TargetStatus:
-    """Return the line of a target."""
+    """Return the status of a target."""
     return TargetStatus(
         target.target_id,
         target.data_centre,
@@ -143,7 +143,7 @@
 
 
 def _log_status(replica: ReplicaLogStatus) -> LogStatus:
-    """Return the log's part of the answer."""
+    """Return the status of the replicated log."""
     has_quorum = None
     if replica.role == "leader":
         has_quorum = replica.lease_remaining_seconds > 0
--- a/sesameford/status.py
+++ b/sesameford/status.py
@@ -1,4 +1,4 @@
-"""What an instance tells operators of itself and of the others it knows."""
+"""The status report that an instance returns to operators."""
 
 from typing import Any
 
@@ -8,11 +8,11 @@
 
 
 class InstanceStatus(Struct, frozen=True):
-    """One instance as the answering one knows it.
+    """One instance as the reporting instance sees it.
 
-    ``heard_seconds_ago`` is 0 for the answering instance itself and None for one
-    in the settings that was never heard. ``live`` is False for one that has been
-    silent for longer than its heartbeats allow. ``role`` is its part in the
+    ``heard_seconds_ago`` is the time since its last heartbeat: 0 for the reporting
+    instance itself, and None for an instance of the settings that has never sent
+    one. ``live`` is False after the heartbeat timeout. ``role`` is its role in the
     replicated log: leader, follower, learner or none.
     """
 
@@ -26,7 +26,7 @@
 
 
 class TargetStatus(Struct, frozen=True):
-    """One target as the answering instance knows it."""
+    """One target as the reporting instance sees it."""
 
     target_id: str
     data_centre: str
@@ -47,9 +47,9 @@
 
 
 class LogStatus(Struct, frozen=True):
-    """The replicated log as the answering instance knows it.
+    """The replicated log as the reporting instance sees it.
 
-    ``quorum`` is None where the instance can't tell.
+    ``quorum`` is None where the instance can't determine it.
     """
 
     leader_id: str | None = None
@@ -80,19 +80,19 @@
 def instances_behind(
     report: StatusReport, revision: int
 ) -> tuple[list[InstanceStatus], list[InstanceStatus]]:
-    """Return who is not known to be at a revision.
+    """Return the instances that have not reported a revision.
 
     Args:
-        report: What one instance knows.
-        revision: The revision asked about.
+        report: The status report of one instance.
+        revision: The revision to compare with.
 
     Returns:
-        The live instances below it, and the silent ones, of which nobody here can
-        tell.
+        The live instances below the revision, and the silent instances, whose
+        revision is unknown.
     """
     behind = [
-        one
-        for one in report.instances
-        if one.live and (one.revision is None or one.revision < revision)
+        instance
+        for instance in report.instances
+        if instance.live and (instance.revision is None or instance.revision < revision)
     ]
-    return behind, [one for one in report.instances if not one.live]
+    return behind, [instance for instance in report.instances if not instance.live]
