--- a/sesameford/control.py
+++ b/sesameford/control.py
@@ -106,13 +106,13 @@
 
 
 def _add_file(parser: ArgumentParser) -> None:
-    """Add the tree file."""
+    """Add the argument for the tree file."""
     file = parser.add_argument("file", type=Path, help="a tree in YAML")
     file.complete = shtab.FILE  # type: ignore[attr-defined]
 
 
 def _add_wait(parser: ArgumentParser) -> None:
-    """Add whether to wait until a change is in force."""
+    """Add the options to wait until a change is in force."""
     parser.add_argument(
         "--wait",
         action="store_true",
@@ -122,14 +122,14 @@
 
 
 def _add_output(parser: ArgumentParser) -> None:
-    """Add the form of output."""
+    """Add the option for the output format."""
     parser.add_argument(
         "--output", choices=["table", "json"], default="table", help="form of output"
     )
 
 
 def _add_common(parser: ArgumentParser) -> None:
-    """Add what every command needs that asks an instance."""
+    """Add the options of every command that sends requests to an instance."""
     _add_output(parser)
     parser.add_argument(
         "--server",
@@ -163,9 +163,9 @@
 
 
 def _servers(arguments: Namespace) -> list[str]:
-    """Return the instances to ask."""
-    given = arguments.server or environ.get("SESAMEFORD_SERVERS", "").split(",")
-    servers = [server.strip() for server in given if server.strip()]
+    """Return the base addresses of the instances."""
+    addresses = arguments.server or environ.get("SESAMEFORD_SERVERS", "").split(",")
+    servers = [server.strip() for server in addresses if server.strip()]
     if not servers:
         raise ControlError("no instance named: use --server", exit_code=2)
     for server in servers:
@@ -205,7 +205,7 @@
     """Run the tool.
 
     Args:
-        argv: Arguments, by default those of the process.
+        argv: The arguments, by default those of the process.
 
     Returns:
         The exit code; ``--help`` lists them.
--- a/sesameford/control_client.py
+++ b/sesameford/control_client.py
@@ -1,4 +1,4 @@
-"""The command-line tool's talk with the instances' operators' port."""
+"""The HTTP client of the command-line tool for the operators' port."""
 
 from asyncio import sleep
 from collections.abc import AsyncIterator, Sequence
@@ -14,15 +14,15 @@
 from sesameford.errors import SesamefordError
 
 REQUEST_TIMEOUT_SECONDS = 30.0
-PAUSE_SECONDS = 0.25
+RETRY_INTERVAL_SECONDS = 0.25
 
 
 class ControlError(SesamefordError):
     """A command of the tool failed.
 
     Args:
-        detail: A sentence for people.
-        exit_code: What the tool ends with.
+        detail: A message for people.
+        exit_code: The exit code of the tool.
     """
 
     def __init__(self, detail: str, exit_code: int) -> None:
@@ -31,7 +31,7 @@
 
 
 class ServerAnswer(Struct, frozen=True):
-    """A decoded answer and the server that gave it."""
+    """A decoded response and the server that sent it."""
 
     server: str
     status: int
@@ -40,13 +40,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Client:
-    """Asks any one of several instances, the next where one does not answer.
+    """Sends requests to any of several instances, trying the next after a failure.
 
     Args:
         session: An open session.
         servers: Base addresses, such as ``http://127.0.0.1:7001``.
         key: The operator's key.
-        timeout_seconds: How long a command goes on trying.
+        timeout_seconds: How long a request is retried.
     """
 
     session: ClientSession
@@ -54,14 +54,14 @@
     key: str
     timeout_seconds: float
 
-    async def ask(
+    async def request(
         self, method: str, path: str, body: bytes | None = None
     ) -> ServerAnswer:
-        """Return the first answer that decides the matter.
+        """Return the first response with a status below 500.
 
-        An instance that can't be reached, or that answers that it can't decide
-        now (503), is passed over; an answer lost on the way is as good as none,
-        which is why a change is sent again with the same change id.
+        An instance that can't be reached or that answers with a server error, such
+        as 503 without a quorum, is skipped. A lost response is treated the same, so
+        a change may be sent again; it then has the same change id.
 
         Args:
             method: HTTP method.
@@ -69,35 +69,37 @@
             body: JSON, for a change.
 
         Returns:
-            The answer, whatever its status.
+            The response, of any status below 500.
 
         Raises:
-            ControlError: No instance decided in time.
+            ControlError: No instance gave such a response before the timeout.
         """
         deadline_seconds = monotonic() + self.timeout_seconds
-        faults: dict[str, str] = {}
+        errors: dict[str, str] = {}
         while True:
             for server in self.servers:
                 try:
-                    answer = await self._ask_one(server, method, path, body)
+                    answer = await self._send_request(server, method, path, body)
                 except (ClientError, OSError, TimeoutError, DecodeError) as error:
-                    faults[server] = str(error) or type(error).__name__
+                    errors[server] = str(error) or type(error).__name__
                     continue
                 if answer.status < 500:
                     return answer
-                faults[server] = problem_detail(answer)
-            if monotonic() + PAUSE_SECONDS >= deadline_seconds:
+                errors[server] = problem_detail(answer)
+            if monotonic() + RETRY_INTERVAL_SECONDS >= deadline_seconds:
                 raise ControlError(
                     "no instance could answer: "
-                    + "; ".join(f"{one}: {why}" for one, why in faults.items()),
+                    + "; ".join(
+                        f"{address}: {detail}" for address, detail in errors.items()
+                    ),
                     exit_code=4,
                 )
-            await sleep(PAUSE_SECONDS)
+            await sleep(RETRY_INTERVAL_SECONDS)
 
-    async def _ask_one(
+    async def _send_request(
         self, server: str, method: str, path: str, body: bytes | None
     ) -> ServerAnswer:
-        """Return one server's answer."""
+        """Send a request to one server and return its response."""
         headers = {"Authorization": f"Bearer {self.key}"}
         if body is not None:
             headers["Content-Type"] = "application/json"
@@ -122,13 +124,13 @@
 async def open_client(
     servers: Sequence[str], key: str, timeout_seconds: float, authority_file: str | None
 ) -> AsyncIterator[Client]:
-    """Open a client for the length of a command.
+    """Open a client for the duration of a command.
 
     Args:
         servers: Base addresses of instances.
         key: The operator's key.
-        timeout_seconds: How long to go on trying.
-        authority_file: Certificates to trust instead of the machine's own.
+        timeout_seconds: How long a request is retried.
+        authority_file: Certificates to trust instead of the system's own.
 
     Raises:
         ControlError: The certificates can't be read.
@@ -144,17 +146,17 @@
 
 
 def problem_detail(answer: ServerAnswer) -> str:
-    """Return what a server says is wrong."""
+    """Return the error message of a response."""
     if isinstance(answer.body, dict):
         return str(answer.body.get("detail", answer.body))
     return f"status {answer.status}: {answer.body}"
 
 
 def require_success(answer: ServerAnswer) -> Any:
-    """Return the body of a successful answer.
+    """Return the body of a successful response.
 
     Raises:
-        ControlError: The server refused; its exit code tells why.
+        ControlError: The request was refused; the exit code gives the reason.
     """
     if answer.status == 200:
         return answer.body
--- a/sesameford/control_commands.py
+++ b/sesameford/control_commands.py
@@ -26,9 +26,9 @@
 from sesameford.tree import DeclaredTree, difference, parse_tree, read_node, tree_digest
 from sesameford.tree_text import render_difference
 
-POLL_SECONDS = 0.1
-# Answers that decide what became of a change; after any other it is still open.
-DECIDED = frozenset({200, 400, 409, 413, 422})
+POLL_INTERVAL_SECONDS = 0.1
+# Statuses that end a change; after any other it may still be accepted.
+FINAL_STATUSES = frozenset({200, 400, 409, 413, 422})
 
 
 def _read_tree(file: Path) -> tuple[str, DeclaredTree]:
@@ -44,7 +44,7 @@
 
 
 def validate_command(arguments: Namespace) -> int:
-    """Check a tree file without asking any instance."""
+    """Check a tree file without sending a request to any instance."""
     _, declared = _read_tree(arguments.file)
     counts: dict[str, int] = {}
     for path, encoded in declared.nodes.items():
@@ -63,9 +63,9 @@
     text, declared = _read_tree(arguments.file)
     memory_at = memory_file(arguments.file)
     memory = read_memory(memory_at)
-    change = await _change(client, arguments, memory, declared)
+    change = await _prepare_change(client, arguments, memory, declared)
     write_memory(memory_at, Memory(memory.revision, change))
-    answer = await client.ask(
+    answer = await client.request(
         "POST",
         "/tree/changes",
         json.encode(
@@ -76,7 +76,7 @@
             }
         ),
     )
-    if answer.status in DECIDED:
+    if answer.status in FINAL_STATUSES:
         write_memory(memory_at, Memory(memory.revision, None))
     if answer.status == 409:
         present = answer.body.get("present_revision")
@@ -91,10 +91,10 @@
     return await _finish_apply(client, arguments, result)
 
 
-async def _change(
+async def _prepare_change(
     client: Client, arguments: Namespace, memory: Memory, declared: DeclaredTree
 ) -> PendingChange:
-    """Return the change to send, with the id of an earlier try where it is one."""
+    """Return the change to send, with the id of an unanswered earlier attempt."""
     digest = f"{tree_digest(declared.nodes):032x}"
     base_revision = arguments.base_revision
     if base_revision is None:
@@ -105,17 +105,19 @@
 
 
 async def _finish_apply(client: Client, arguments: Namespace, result: Any) -> int:
-    """Wait where asked to, and tell what became of the change."""
+    """Wait if requested, print the result of a change and return the exit code."""
     behind: list[str] = []
     silent: list[str] = []
     if arguments.wait:
-        behind, silent = await _wait(client, result["revision"], arguments.wait_seconds)
+        behind, silent = await _wait_until_in_force(
+            client, result["revision"], arguments.wait_seconds
+        )
     result = {**result, "behind": behind, "silent": silent}
     if arguments.output == "json":
         print_json(result)
     else:
-        word = "accepted as" if result["changed"] else "already in force:"
-        print(f"{word} revision {result['revision']}")
+        outcome = "accepted as" if result["changed"] else "already in force:"
+        print(f"{outcome} revision {result['revision']}")
         if arguments.wait and not behind:
             print("in force on every live instance")
         if silent:
@@ -127,39 +129,39 @@
 
 
 async def evacuate_command(client: Client, arguments: Namespace) -> int:
-    """Give the targets of a data centre no new work."""
+    """Stop new work for the targets of a data centre."""
     return await _order_evacuation(client, arguments, evacuated=True)
 
 
 async def restore_command(client: Client, arguments: Namespace) -> int:
-    """Give the targets of an evacuated data centre work again."""
+    """Resume new work for the targets of an evacuated data centre."""
     return await _order_evacuation(client, arguments, evacuated=False)
 
 
 async def _order_evacuation(
     client: Client, arguments: Namespace, evacuated: bool
 ) -> int:
-    """Send an order for a data centre under an id of its own.
+    """Send an evacuation or restore order with a new change id.
 
-    The client tries several instances under the one id, so that a copy which was held
-    up on its way can't come into force after a later order.
+    The client sends the same id to each instance that it tries, so that a delayed
+    copy can't come into force after a later order.
     """
     body = {
         "change_id": f"evacuation-{token_hex(8)}",
         "data_centre": arguments.data_centre,
         "evacuated": evacuated,
     }
-    answer = await client.ask("POST", "/tree/evacuations", json.encode(body))
+    answer = await client.request("POST", "/tree/evacuations", json.encode(body))
     return await _finish_apply(client, arguments, require_success(answer))
 
 
-async def _wait(
+async def _wait_until_in_force(
     client: Client, revision: int, wait_seconds: float
 ) -> tuple[list[str], list[str]]:
     """Wait until every live instance is at a revision.
 
     Returns:
-        Live instances still below it when the time is over, and silent ones.
+        The live instances still below it at the timeout, and the silent instances.
     """
     deadline_seconds = monotonic() + wait_seconds
     while True:
@@ -168,29 +170,27 @@
             return [one.instance_id for one in behind], [
                 one.instance_id for one in silent
             ]
-        await sleep(POLL_SECONDS)
+        await sleep(POLL_INTERVAL_SECONDS)
 
 
 async def _status(client: Client) -> StatusReport:
-    """Return one instance's status."""
-    body = require_success(await client.ask("GET", "/status"))
+    """Return the status report of one instance."""
+    body = require_success(await client.request("GET", "/status"))
     try:
         return convert(body, StatusReport)
     except ValidationError as error:
-        raise ControlError(f"the status makes no sense: {error}", exit_code=4) from (
-            error
-        )
+        raise ControlError(f"invalid status report: {error}", exit_code=4) from (error)
 
 
 async def _tree_in_force(client: Client) -> tuple[int, str, DeclaredTree]:
-    """Return the tree in force at the instance that answers."""
-    body = require_success(await client.ask("GET", "/tree"))
+    """Return the tree in force at the instance that answers, with its revision."""
+    body = require_success(await client.request("GET", "/tree"))
     text = body["declared"]
     return body["revision"], text, parse_tree(text, "tree in force")
 
 
 async def diff_command(client: Client, arguments: Namespace) -> int:
-    """Compare a tree file with the tree in force; 1 where they differ."""
+    """Compare a tree file with the tree in force; return 1 if they differ."""
     _, declared = _read_tree(arguments.file)
     revision, _, in_force = await _tree_in_force(client)
     rows = render_difference(in_force, difference(in_force, declared))
@@ -209,7 +209,7 @@
 
 
 async def get_command(client: Client, arguments: Namespace) -> int:
-    """Print the tree in force, a part of it, or a node's effective values."""
+    """Print the tree in force, one node of it, or a node's effective values."""
     if arguments.effective:
         if arguments.path is None:
             raise ControlError("get --effective needs the path of a node", exit_code=2)
@@ -226,7 +226,7 @@
 
 
 def _get_node(arguments: Namespace, revision: int, in_force: DeclaredTree) -> int:
-    """Print what one node says itself."""
+    """Print the settings that one node declares itself."""
     encoded = in_force.nodes.get(arguments.path)
     if encoded is None:
         raise ControlError(f"the tree has no {arguments.path!r}", exit_code=2)
@@ -243,9 +243,9 @@
 
 
 async def _get_effective(client: Client, arguments: Namespace) -> int:
-    """Print each value in force at a node with the branch that it comes from."""
+    """Print the effective values of a node, each with its branch."""
     path = f"/tree/effective?path={quote(arguments.path, safe='')}"
-    body = require_success(await client.ask("GET", path))
+    body = require_success(await client.request("GET", path))
     if arguments.output == "json":
         print_json(body)
         return 0
@@ -258,7 +258,7 @@
 
 
 async def status_command(client: Client, arguments: Namespace) -> int:
-    """Print what one instance knows of itself and the others."""
+    """Print the status report of one instance."""
     report = await _status(client)
     if arguments.output == "json":
         print_json(report)
@@ -270,7 +270,7 @@
 async def history_command(client: Client, arguments: Namespace) -> int:
     """Print accepted changes, newest first."""
     query = "" if arguments.before is None else f"?before={arguments.before}"
-    entries = require_success(await client.ask("GET", f"/tree/history{query}"))
+    entries = require_success(await client.request("GET", f"/tree/history{query}"))
     if arguments.output == "json":
         print_json(entries)
         return 0
@@ -282,7 +282,7 @@
                 one["revision"],
                 time_text(one["at_seconds"]),
                 one["operator"],
-                _touched(one),
+                _format_paths(one),
                 one["change_id"],
             )
             for one in entries
@@ -291,8 +291,8 @@
     return 0
 
 
-def _touched(entry: dict[str, Any]) -> str:
-    """Return the paths that a change touched, shortened."""
+def _format_paths(entry: dict[str, Any]) -> str:
+    """Return the changed paths of a history entry, shortened."""
     more = entry["path_count"] - len(entry["paths"])
     shown = ", ".join(entry["paths"])
     return f"{shown} and {more} more" if more else shown
--- a/sesameford/control_memory.py
+++ b/sesameford/control_memory.py
@@ -1,4 +1,4 @@
-"""What the tool remembers beside a tree file, so that a resend is recognised."""
+"""State that the tool stores next to a tree file, so that a resend is recognised."""
 
 import os
 from pathlib import Path
@@ -10,7 +10,7 @@
 
 
 class PendingChange(Struct, frozen=True):
-    """A change that was sent and has no answer yet."""
+    """A change that was sent and has not been answered yet."""
 
     change_id: str
     base_revision: int
@@ -18,7 +18,7 @@
 
 
 class Memory(Struct, frozen=True):
-    """The revision that the file was last known to be, and an unanswered change."""
+    """The revision that the file was last applied as, and an unanswered change."""
 
     revision: int | None = None
     pending: PendingChange | None = None
@@ -28,12 +28,12 @@
 
 
 def memory_file(tree_file: Path) -> Path:
-    """Return where the tool remembers what became of a tree file."""
+    """Return the path of the state file of a tree file."""
     return tree_file.with_name(f".{tree_file.name}.sesameford.json")
 
 
 def read_memory(file: Path) -> Memory:
-    """Return what is remembered, nothing where there is no such file.
+    """Return the stored state, or an empty one if there is no such file.
 
     Raises:
         ControlError: The file can't be read.
@@ -49,13 +49,13 @@
 
 
 def write_memory(file: Path, memory: Memory) -> None:
-    """Remember, whole or not at all, before anything is sent.
+    """Write the state atomically, before the change is sent.
 
-    A tool that is killed half way through must find its change id again, or the
-    same change would be sent as another one and told of a conflict with itself.
+    A tool that is killed while it waits must find its change id again, or it would
+    send the same change under another id and get a conflict with its own change.
 
     Raises:
-        ControlError: The file can't be written; nothing must be sent then.
+        ControlError: The file can't be written; the change must not be sent then.
     """
     temporary = file.with_name(f"{file.name}.new")
     try:
@@ -69,12 +69,12 @@
 
 
 def change_to_send(memory: Memory, digest: str, base_revision: int) -> PendingChange:
-    """Return the change to send: the unanswered one where it is the same.
+    """Return the change to send: the unanswered one if its tree is the same.
 
     Args:
-        memory: What is remembered.
-        digest: That of the tree to declare.
-        base_revision: The revision that a new change would be based on.
+        memory: The stored state.
+        digest: The digest of the tree to declare.
+        base_revision: The base revision of a new change.
 
     Returns:
         A change with its id.
--- a/sesameford/control_output.py
+++ b/sesameford/control_output.py
@@ -1,4 +1,4 @@
-"""What the command-line tool prints: tables for people, JSON for programs."""
+"""The output of the command-line tool: tables for people, JSON for programs."""
 
 from collections.abc import Iterable, Sequence
 from datetime import UTC, datetime
@@ -12,7 +12,7 @@
 
 
 def print_json(value: Any) -> None:
-    """Print a value as one JSON document, unmarked and unwrapped."""
+    """Print a value as one JSON document, without markup or wrapping."""
     print(json.format(json.encode(value), indent=2).decode())
 
 
@@ -22,17 +22,17 @@
     """Print a table for people.
 
     Args:
-        title: Its heading.
-        columns: The names of its columns.
-        rows: Cells, turned to text.
+        title: The heading of the table.
+        columns: The names of the columns.
+        rows: The cells of each row, converted to text.
     """
     table = Table()
     for column in columns:
         table.add_column(column, overflow="fold")
     for row in rows:
         table.add_row(*(_cell(value) for value in row))
-    # Ids and digests are meant to be copied, so nothing is cut to the width of a
-    # window where the output is not one.
+    # Ids and digests are meant to be copied, so output that is not a terminal gets a
+    # fixed large width instead of the default one.
     is_terminal = Console().is_terminal
     console = Console(width=None if is_terminal else 200, markup=False)
     console.print(title, highlight=False)
--- a/sesameford/operators.py
+++ b/sesameford/operators.py
@@ -62,29 +62,29 @@
 
 MAX_CHANGE_BYTES = MAX_TEXT_BYTES + 1_000_000
 MAX_REVISION = (1 << 62) - 1
-CATCH_UP_SECONDS = 2.0
+CATCH_UP_TIMEOUT_SECONDS = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorsDeps:
-    """What the operators' interface needs of its instance.
+    """The parts of an instance that the operators' interface uses.
 
     Args:
-        operators: Names and key digests of those who may change the tree.
-        platform_key_digest: Digest of the key that targets announce with; None
+        operators: Names and key digests of the operators.
+        platform_key_digest: Digest of the key that announcements must carry; None
             refuses every announcement.
-        store: Returns the tree in force here.
-        propose: Brings a command to agreement.
-        caught_up: Waits until the tree here has at least a revision; False when
-            the given seconds were not enough.
-        local_history: Accepted changes as known here, newest first, or None where
-            this instance keeps none; used when there is no quorum to ask.
-        status: What this instance knows of itself and of the others.
-        announce: Takes a target's announcement; False for one from the past.
-        leave: Takes a target's leave by id, incarnation and sequence; False for
-            one from the past.
-        now: The present time, on a clock that never goes back.
-        wall_seconds: The time of day, for the history.
+        store: Returns the tree in force at this instance.
+        propose: Commits a command to the replicated log and returns its result.
+        caught_up: Waits until this instance's tree has at least a revision;
+            returns False after the given timeout in seconds.
+        local_history: Returns the accepted changes stored at this instance, newest
+            first, or None if it stores none; used without a quorum.
+        status: Returns the status report of this instance.
+        announce: Handles a target's announcement; returns False for an outdated one.
+        leave: Handles a target's leave by id, incarnation and sequence; returns
+            False for an outdated one.
+        now: The current time in seconds, on a monotonic clock.
+        wall_seconds: The time of day in seconds, for the history.
     """
 
     operators: Sequence[OperatorKey]
@@ -101,7 +101,7 @@
 
 
 class ChangeBody(Struct, frozen=True, forbid_unknown_fields=True):
-    """The body of a change of the tree."""
+    """The body of a request to change the tree."""
 
     change_id: str
     base_revision: int
@@ -109,7 +109,7 @@
 
 
 class EvacuationBody(Struct, frozen=True, forbid_unknown_fields=True):
-    """The body of an order to evacuate a data centre, or to restore it."""
+    """The body of a request to evacuate or restore a data centre."""
 
     change_id: str
     data_centre: str
@@ -125,44 +125,46 @@
     """Return the routes of the operators' port.
 
     Args:
-        deps: What they need of the instance.
+        deps: The parts of the instance that the routes use.
 
     Returns:
         Routes for an aiohttp application.
     """
 
     async def post_change(request: web.Request) -> web.Response:
-        operator = _operator(deps, request)
+        operator = _authenticate_operator(deps, request)
         body = await read_body(request, _change_bodies, MAX_CHANGE_BYTES)
         return json_response(await change_tree(deps, operator, body))
 
     async def post_evacuation(request: web.Request) -> web.Response:
-        operator = _operator(deps, request)
+        operator = _authenticate_operator(deps, request)
         body = await read_body(request, _evacuation_bodies, MAX_ORDER_BYTES)
-        return json_response(await _evacuate(deps, operator, body))
+        return json_response(await _commit_evacuation(deps, operator, body))
 
     async def get_tree(request: web.Request) -> web.Response:
-        _operator(deps, request)
+        _authenticate_operator(deps, request)
         store = deps.store()
         revision = store.revision
         declared = await run_in_slices(render_tree_in_slices(store.copy()))
         return json_response({"revision": revision, "declared": declared})
 
     async def get_effective(request: web.Request) -> web.Response:
-        _operator(deps, request)
-        return json_response(_effective(deps.store(), request.query.get("path", "")))
+        _authenticate_operator(deps, request)
+        return json_response(
+            _effective_values(deps.store(), request.query.get("path", ""))
+        )
 
     async def get_history(request: web.Request) -> web.Response:
-        _operator(deps, request)
-        before = _before(request.query.get("before", ""))
-        return json_response(await _history(deps, before))
+        _authenticate_operator(deps, request)
+        before = _parse_before(request.query.get("before", ""))
+        return json_response(await _read_history(deps, before))
 
     async def get_status(request: web.Request) -> web.Response:
-        _operator(deps, request)
+        _authenticate_operator(deps, request)
         return json_response(deps.status())
 
     async def post_announce(request: web.Request) -> web.Response:
-        _platform(deps, request)
+        _authenticate_platform(deps, request)
         body = await read_body(request, announce_bodies, MAX_ANNOUNCEMENT_BYTES)
         fleet = fleet_settings(deps.store().declared)
         check_announcement(body, fleet.target_lease_seconds)
@@ -171,7 +173,7 @@
         return json_response({"target_id": body.target_id})
 
     async def post_leave(request: web.Request) -> web.Response:
-        _platform(deps, request)
+        _authenticate_platform(deps, request)
         body = await read_body(request, leave_bodies, MAX_ANNOUNCEMENT_BYTES)
         if not deps.leave(body.target_id, body.incarnation, body.sequence):
             raise Problem(409, "from-the-past", "a newer announcement is known")
@@ -192,18 +194,18 @@
 async def change_tree(
     deps: OperatorsDeps, operator: str, body: ChangeBody
 ) -> dict[str, Any]:
-    """Check a change and bring it to agreement.
+    """Validate a change and commit it to the replicated log.
 
     Args:
-        deps: What is needed of the instance.
-        operator: Who asks.
+        deps: The parts of the instance that are used.
+        operator: The name of the requesting operator.
         body: The change.
 
     Returns:
-        The answer's body.
+        The body of the response.
 
     Raises:
-        Problem: The change was not accepted, or nobody knows.
+        Problem: The change was not accepted, or its result is unknown.
     """
     _check_change(body)
     try:
@@ -217,9 +219,9 @@
             found=error.found,
             allowed=error.allowed,
         ) from error
-    # The difference is worked out against the tree held here, so this instance
-    # must have heard of the revision that the operator started from.
-    await deps.wait_for_revision(body.base_revision, CATCH_UP_SECONDS)
+    # The difference is computed against the tree at this instance, which must have
+    # reached the revision that the change is based on.
+    await deps.wait_for_revision(body.base_revision, CATCH_UP_TIMEOUT_SECONDS)
     store = deps.store()
     command = make_tree_change(
         store,
@@ -231,17 +233,17 @@
     )
     answer = decode_answer(await _propose(deps, body.change_id, command))
     if answer.status == ACCEPTED:
-        await deps.wait_for_revision(answer.revision, CATCH_UP_SECONDS)
+        await deps.wait_for_revision(answer.revision, CATCH_UP_TIMEOUT_SECONDS)
     return _change_result(body, answer)
 
 
-async def _evacuate(
+async def _commit_evacuation(
     deps: OperatorsDeps, operator: str, body: EvacuationBody
 ) -> dict[str, Any]:
-    """Bring an order to evacuate or restore a data centre to agreement.
+    """Commit an order to evacuate or restore a data centre to the replicated log.
 
     Raises:
-        Problem: It was not accepted, or nobody knows.
+        Problem: The order was not accepted, or its result is unknown.
     """
     _check_change_id(body.change_id)
     try:
@@ -264,22 +266,26 @@
         raise Problem(404, "no-such-data-centre", detail) from error
     except LogError as error:
         raise Problem(503, "no-quorum", f"{error}; send it again") from error
-    await deps.wait_for_revision(answer.revision, CATCH_UP_SECONDS)
-    return _decided(body.change_id, answer)
+    await deps.wait_for_revision(answer.revision, CATCH_UP_TIMEOUT_SECONDS)
+    return _decided_result(body.change_id, answer)
 
 
 def _data_centres(report: StatusReport) -> set[str]:
     """Return the data centres of all instances and targets."""
-    known = {report.data_centre}
-    known |= {instance.data_centre for instance in report.instances}
-    known |= {target.data_centre for target in report.targets}
-    return known
+    data_centres = {report.data_centre}
+    data_centres |= {instance.data_centre for instance in report.instances}
+    data_centres |= {target.data_centre for target in report.targets}
+    return data_centres
 
 
 async def _propose(deps: OperatorsDeps, name: str, command: Any) -> bytes:
-    """Bring a command to agreement, or say plainly that there is no quorum."""
-    # The machine knows resends by their change id. The proposal id is new each
-    # time, or an answer of "behind" would be given again for good.
+    """Commit a command to the replicated log and return its result.
+
+    Raises:
+        Problem: The command is too large, or the log failed or has no quorum.
+    """
+    # The state machine detects resends by their change id. The proposal id is new
+    # each time, or the log would repeat an answer of "behind" for ever.
     proposal_id = f"{name}/{token_hex(8)}"
     encoded = encode_command(command)
     if len(encoded) > COMMAND_LIMIT_BYTES:
@@ -301,7 +307,11 @@
 
 
 def _change_result(body: ChangeBody, answer: ChangeAnswer) -> dict[str, Any]:
-    """Return the answer's body for a change that is in force."""
+    """Return the response body for a decided change.
+
+    Raises:
+        Problem: The change was not accepted.
+    """
     if answer.status == CONFLICT:
         raise Problem(
             409,
@@ -314,14 +324,18 @@
         raise Problem(
             503,
             "behind",
-            "this instance has not heard of the base revision yet; nothing changed",
+            "this instance has not received the base revision yet; nothing changed",
             present_revision=answer.revision,
         )
-    return _decided(body.change_id, answer)
+    return _decided_result(body.change_id, answer)
+
 
+def _decided_result(change_id: str, answer: ChangeAnswer) -> dict[str, Any]:
+    """Return the response body for a decided command.
 
-def _decided(change_id: str, answer: ChangeAnswer) -> dict[str, Any]:
-    """Return the answer's body for what is in force, unless it was refused."""
+    Raises:
+        Problem: The command was refused.
+    """
     if answer.status == REFUSED:
         raise Problem(400, "refused", answer.detail)
     return {
@@ -331,8 +345,8 @@
     }
 
 
-async def _history(deps: OperatorsDeps, before: int) -> list[dict[str, Any]]:
-    """Return a page of the history, agreed where there is a quorum."""
+async def _read_history(deps: OperatorsDeps, before: int) -> list[dict[str, Any]]:
+    """Return a page of the history, from the replicated log if it has a quorum."""
     try:
         entries = decode_history(await _propose(deps, "history", HistoryQuery(before)))
     except Problem:
@@ -353,24 +367,24 @@
     ]
 
 
-def _effective(store: TreeStore, path: str) -> dict[str, Any]:
-    """Return a node's values in force with their branches."""
+def _effective_values(store: TreeStore, path: str) -> dict[str, Any]:
+    """Return the effective values of a node, each with its branch."""
     try:
-        found = origins(store.declared, path)
+        origins_by_field = origins(store.declared, path)
     except TreeError as error:
         raise Problem(404, "no-such-node", f"the tree has no {path!r}") from error
-    values = {name: asdict(origin) for name, origin in found.items()}
+    values = {name: asdict(origin) for name, origin in origins_by_field.items()}
     return {"revision": store.revision, "path": path, "values": values}
 
 
 # --- bodies and keys -----------------------------------------------------------
 
 
-def _operator(deps: OperatorsDeps, request: web.Request) -> str:
-    """Return the name of the operator whose key was given."""
+def _authenticate_operator(deps: OperatorsDeps, request: web.Request) -> str:
+    """Return the name of the operator whose key the request carries."""
     digest = bearer_digest(request)
     name = None
-    # Every key is compared, so that the time taken tells nothing of which fits.
+    # Every key is compared, so that the duration does not reveal which one matches.
     for operator in deps.operators:
         if compare_digest(operator.key_digest, digest):
             name = operator.name
@@ -379,7 +393,7 @@
     return name
 
 
-def _platform(deps: OperatorsDeps, request: web.Request) -> None:
+def _authenticate_platform(deps: OperatorsDeps, request: web.Request) -> None:
     """Refuse a request without the platform's key."""
     digest = bearer_digest(request)
     if deps.platform_key_digest is None:
@@ -396,13 +410,13 @@
 
 
 def _check_change_id(change_id: str) -> None:
-    """Refuse an id that can't be kept or shown."""
+    """Refuse an id that is empty, too long or not printable."""
     if not 0 < len(change_id) <= 100 or not change_id.isprintable():
         raise Problem(400, "bad-body", "change_id: 1 to 100 printable characters")
 
 
-def _before(text: str) -> int:
-    """Return the revision below which history is wanted."""
+def _parse_before(text: str) -> int:
+    """Return the revision below which history is requested."""
     if not text:
         return MAX_REVISION
     if not text.isascii() or not text.isdigit() or len(text) > 18:
--- a/sesameford/operators_http.py
+++ b/sesameford/operators_http.py
@@ -1,4 +1,4 @@
-"""What the operators' port needs of HTTP: problems, bodies, keys, sliced work."""
+"""HTTP helpers of the operators' port: problems, bodies, keys, sliced work."""
 
 from asyncio import sleep, timeout
 from collections.abc import Awaitable, Callable
@@ -16,12 +16,12 @@
 
 
 class Problem(Exception):
-    """An answer other than success.
+    """An error response.
 
     Args:
         status: The HTTP status code.
-        reason: A short, stable word for programs.
-        detail: A sentence for people.
+        reason: A short, stable code for programs.
+        detail: A message for people.
         more: Further fields of the body.
     """
 
@@ -39,7 +39,7 @@
 
 
 def with_problem_responses(handler: Handler) -> Handler:
-    """Return a handler that turns problems into their answers."""
+    """Return a handler that converts each ``Problem`` into its response."""
 
     async def answer(request: web.Request) -> web.StreamResponse:
         try:
@@ -57,15 +57,15 @@
 
 
 def json_response(value: Any) -> web.Response:
-    """Return a successful answer."""
+    """Return a successful response."""
     return web.Response(body=json.encode(value), content_type="application/json")
 
 
 def bearer_digest(request: web.Request) -> str:
-    """Return the digest of the key that came with a request.
+    """Return the digest of the bearer key of a request.
 
     Raises:
-        Problem: No key came.
+        Problem: The request has no bearer key.
     """
     scheme, _, key = request.headers.get("Authorization", "").partition(" ")
     if scheme.lower() != "bearer" or not key.strip():
@@ -74,14 +74,14 @@
 
 
 def digest_of_key(key: str) -> str:
-    """Return what the tree holds in place of a key."""
+    """Return the digest that the tree stores in place of a key."""
     return sha256(key.strip().encode("utf-8", "surrogateescape")).hexdigest()
 
 
 async def read_body(
     request: web.Request, decoder: json.Decoder[Any], limit_bytes: int
 ) -> Any:
-    """Read and decode a body within bounds of size and time."""
+    """Read and decode a body within limits of size and time."""
     parts = bytearray()
     try:
         async with timeout(BODY_TIMEOUT_SECONDS):
@@ -98,7 +98,7 @@
 
 
 async def run_in_slices(work: SlicedWork[Result]) -> Result:
-    """Do sliced work, letting the loop do other work in between."""
+    """Run sliced work, yielding to the event loop after each slice."""
     while True:
         try:
             next(work)
