--- a/sesameford/planned_stop.py
+++ b/sesameford/planned_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop at one instance: asked for by signals or the tree, taken in steps."""
+"""A planned stop of one instance, requested by a signal or by the tree."""
 
 import asyncio
 import logging
@@ -19,7 +19,7 @@
 
 
 class PlannedStop:
-    """The steps of a stop as ``stops`` decides them; ``stopped`` is set at the end."""
+    """Holds the state of a stop, see ``stops``; ``stopped`` is set at its end."""
 
     def __init__(self) -> None:
         self._state = StopState()
@@ -28,17 +28,17 @@
 
     @property
     def step(self) -> StopStep:
-        """Return where the stop stands."""
+        """Return the current step of the stop."""
         return self._state.step
 
     @property
     def request_count(self) -> int:
-        """Return how often the stop was asked for."""
+        """Return how often the stop was requested."""
         return self._state.request_count
 
     @property
     def is_ready(self) -> bool:
-        """Return whether the balancer may send new callers."""
+        """Return whether the load balancer may send new callers."""
         return is_ready(self._state)
 
     @property
@@ -47,24 +47,24 @@
         return accepts_requests(self._state)
 
     def request(self, now_seconds: float) -> None:
-        """Begin a planned stop; asked again it cuts nothing."""
+        """Start a planned stop; a repeated request aborts no running work."""
         self._state = request_stop(self._state, now_seconds)
         logger.info("a stop was asked for", extra={"asked": self._state.request_count})
 
     def apply_drain_setting(self, is_drained: bool, now_seconds: float) -> bool:
-        """Follow the tree; return whether it has just asked for a stop."""
-        is_asked = is_drained and not self._is_drained
-        if is_asked:
+        """Apply the drain setting of the tree; return whether it starts a drain now."""
+        starts_drain = is_drained and not self._is_drained
+        if starts_drain:
             self.request(now_seconds)
         elif self._is_drained and not is_drained:
             self._state = cancel_stop(self._state)
         self._is_drained = is_drained
-        return is_asked
+        return starts_drain
 
     def advance(
         self, load: StopLoad, balancer_delay_seconds: float, now_seconds: float
     ) -> None:
-        """Take the next step where its time has come."""
+        """Go to the next step once its condition holds."""
         before = self._state
         self._state = advance_stop(before, load, balancer_delay_seconds, now_seconds)
         if self._state.step is not before.step:
--- a/sesameford/stops.py
+++ b/sesameford/stops.py
@@ -1,13 +1,13 @@
-"""The steps of a planned stop, by signal or by the tree: it cuts nothing."""
+"""The steps of a planned stop, which lets all running requests end."""
 
 from dataclasses import dataclass, replace
 from enum import StrEnum
 
-REPORT_LIMIT_SECONDS = 10.0
+REPORT_TIMEOUT_SECONDS = 10.0
 
 
 class StopStep(StrEnum):
-    """Where an instance stands on its way out."""
+    """The step of a planned stop that an instance has reached."""
 
     SERVING = "serving"
     UNREADY = "unready"
@@ -20,8 +20,8 @@
 class StopState:
     """A planned stop in progress.
 
-    ``request_count`` counts the signals, for the log only: an impatient second signal
-    would otherwise cut the requests that the first one waits for.
+    ``request_count`` counts the stop requests, for the log only: a repeated signal must
+    not abort the running requests that the first one waits for.
     """
 
     step: StopStep = StopStep.SERVING
@@ -31,10 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StopLoad:
-    """What this instance still holds.
+    """The work that this instance still holds.
 
-    ``unreported`` counts the claims, totals and returned slots that others have
-    not yet taken over.
+    ``unreported`` counts the claims, totals and returned slots that other instances
+    have not yet taken over.
     """
 
     running_requests: int
@@ -43,14 +43,14 @@
 
 
 def request_stop(state: StopState, now_seconds: float) -> StopState:
-    """Begin a planned stop; asked again it changes nothing but the count."""
+    """Start a planned stop; a repeated request only increases the count."""
     if state.step is StopStep.SERVING:
         return StopState(StopStep.UNREADY, now_seconds, request_count=1)
     return replace(state, request_count=state.request_count + 1)
 
 
 def cancel_stop(state: StopState) -> StopState:
-    """Serve on, where the tree takes a drain back before the work was handed over."""
+    """Cancel a stop whose drain is withdrawn before the work has been handed over."""
     if state.step in (StopStep.UNREADY, StopStep.FINISHING):
         return StopState()
     return state
@@ -62,17 +62,17 @@
     balancer_delay_seconds: float,
     now_seconds: float,
 ) -> StopState:
-    """Take the next step of a stop where its time has come.
+    """Return the next step of a stop once its condition holds.
 
     Args:
-        state: The present step.
-        load: What is still held.
-        balancer_delay_seconds: For how long the balancer may go on sending
-            callers here after this instance has said that it isn't ready.
-        now_seconds: The present time.
+        state: The current state.
+        load: The work still held.
+        balancer_delay_seconds: How long the load balancer may go on sending callers
+            after this instance has reported that it isn't ready.
+        now_seconds: The current time.
 
     Returns:
-        The state after this moment.
+        The state from now on.
     """
     waited_seconds = now_seconds - state.since_seconds
     if state.step is StopStep.UNREADY and waited_seconds >= balancer_delay_seconds:
@@ -81,33 +81,31 @@
         if load.running_requests or load.waiting_requests:
             return state
         return replace(state, step=StopStep.REPORTING, since_seconds=now_seconds)
-    # Reports go to others, who may be cut off for hours. What they don't hear
-    # they learn as from a crash, so nobody is told anything untrue.
-    reported = not load.unreported or waited_seconds >= REPORT_LIMIT_SECONDS
+    # The receivers of the reports may be disconnected for hours. They treat missing
+    # reports as they treat a crash, so ending without them reports nothing false.
+    reported = not load.unreported or waited_seconds >= REPORT_TIMEOUT_SECONDS
     if state.step is StopStep.REPORTING and reported:
         return replace(state, step=StopStep.STOPPED, since_seconds=now_seconds)
     return state
 
 
 def is_ready(state: StopState) -> bool:
-    """Return whether the balancer may send new callers."""
+    """Return whether the load balancer may send new callers."""
     return state.step is StopStep.SERVING
 
 
 def accepts_requests(state: StopState) -> bool:
-    """Return whether a new request is served; otherwise it hears not-run."""
+    """Return whether new requests are served; others are answered as not run."""
     return state.step in (StopStep.SERVING, StopStep.UNREADY)
 
 
-def hands_back_waiting(
-    state: StopState, waited_seconds: float, hand_back_after_seconds: float
+def refuses_waiting_request(
+    state: StopState, waited_seconds: float, refuse_after_seconds: float
 ) -> bool:
     """Return whether a waiting request is now answered as not run.
 
-    Waiting requests go on being dispatched while the stop finishes, so most run;
-    one that has waited long in the stop goes back to its caller, who can send it
+    Waiting requests are still dispatched during the finishing step, so most of them
+    run. One that has waited too long in it is refused, so that its caller can send it
     to another instance at once.
     """
-    return state.step is StopStep.FINISHING and waited_seconds >= (
-        hand_back_after_seconds
-    )
+    return state.step is StopStep.FINISHING and waited_seconds >= (refuse_after_seconds)
--- a/tests/test_outcome_rules.py
+++ b/tests/test_outcome_rules.py
@@ -15,15 +15,15 @@
     silent_at_seconds,
 )
 from sesameford.stops import (
-    REPORT_LIMIT_SECONDS,
+    REPORT_TIMEOUT_SECONDS,
     StopLoad,
     StopState,
     StopStep,
     accepts_requests,
     advance_stop,
     cancel_stop,
-    hands_back_waiting,
     is_ready,
+    refuses_waiting_request,
     request_stop,
 )
 from sesameford.tables import TargetKind
@@ -111,7 +111,7 @@
             assert not running + waiting
         if state.step is StopStep.STOPPED and before.step is StopStep.REPORTING:
             waited = second - before.since_seconds
-            assert not unreported or waited >= REPORT_LIMIT_SECONDS
+            assert not unreported or waited >= REPORT_TIMEOUT_SECONDS
         assert not is_ready(state)
         assert accepts_requests(state) is (state.step is StopStep.UNREADY)
 
@@ -122,5 +122,5 @@
     assert accepts_requests(state)
     state = advance_stop(state, StopLoad(1, 1, 0), 1.0, 6.0)
     assert not accepts_requests(state)
-    assert hands_back_waiting(state, 5.0, 5.0)
+    assert refuses_waiting_request(state, 5.0, 5.0)
     assert is_ready(cancel_stop(state))
