--- a/sesameford/bounded_log.py
+++ b/sesameford/bounded_log.py
@@ -1,9 +1,9 @@
-"""Log lines to a stream that may be read slowly, or by nobody.
+"""Log output to a stream whose reader may be slow or gone.
 
-A process that logs a line for each request would stand still with its reader: when
-the pipe is full, each write waits. Callers would notice that all streams pause at
-once. So writing never waits, what can't be written is bounded, and the lines of a
-second are bounded too, those of requests that went well first.
+A process that logs a line for each request would block with its reader: when the pipe
+is full, each write waits, and all streams to callers pause at once. So writes never
+block, the buffer of unwritten lines is bounded, and so is the number of lines per
+second, with the lowest limit for successful requests.
 """
 
 import json
@@ -14,40 +14,40 @@
 from enum import Enum
 from time import monotonic
 
-# Lines a second of what went well, and of what did not. A line costs some 20
-# microseconds, so both together stay below a hundredth of a core.
-INFO_LINES_A_SECOND = 100
-FAILURE_LINES_A_SECOND = 400
-# Lines of what the process believes, such as shares, are few, but a flood of requests
-# would push them out just when they are needed. They have their own bound, against a
-# state that flaps.
-STATE_LINES_A_SECOND = 100
-# What waits for a slow reader: about a second of lines at the rates above.
-MOST_PENDING_BYTES = 262_144
+# Limits for successful and for failed requests. A line costs some 20 microseconds, so
+# both together stay below a hundredth of a core.
+INFO_LINES_PER_SECOND = 100
+FAILURE_LINES_PER_SECOND = 400
+# Lines about the state of the process, such as shares, are few, but a burst of requests
+# would displace them just when they are needed. They have a limit of their own, which
+# bounds a state that flaps.
+STATE_LINES_PER_SECOND = 100
+# The buffer for a slow reader: about a second of lines at the rates above.
+MAX_PENDING_BYTES = 262_144
 
 
 class LineKind(Enum):
-    """What a line tells, which decides how many of its kind are written."""
+    """The subject of a line, which determines its rate limit."""
 
     INFO = "a request that went well"
     FAILURE = "a request that did not"
     STATE = "what the process believes"
 
 
-MOST_LINES = {
-    LineKind.INFO: INFO_LINES_A_SECOND,
-    LineKind.FAILURE: FAILURE_LINES_A_SECOND,
-    LineKind.STATE: STATE_LINES_A_SECOND,
+MAX_LINES_PER_SECOND = {
+    LineKind.INFO: INFO_LINES_PER_SECOND,
+    LineKind.FAILURE: FAILURE_LINES_PER_SECOND,
+    LineKind.STATE: STATE_LINES_PER_SECOND,
 }
 
 
 class BoundedHandler(logging.Handler):
-    """Writes lines without waiting, and counts those that are left out.
+    """Writes lines without blocking, and counts those that are dropped.
 
     Args:
-        descriptor: Of the stream; it is set not to block.
-        now: The present time.
-        request_logger: The logger whose lines tell of one request each.
+        descriptor: The file descriptor of the stream; it is set to non-blocking.
+        now: The current time in seconds.
+        request_logger: The name of the logger that writes one line per request.
     """
 
     def __init__(
@@ -63,17 +63,17 @@
         self._pending = bytearray()
         self._second = int(now())
         self._lines: Counter[LineKind] = Counter()
-        self._left_out = 0
+        self._dropped_lines = 0
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a record's line, or count it as left out."""
+        """Write the line of a record, or count it as dropped."""
         second = int(self._now())
         if second != self._second:
-            self._begin_second(second)
+            self._start_second(second)
         kind = self._kind_of(record)
-        if self._lines[kind] >= MOST_LINES[kind]:
-            self._left_out += 1
+        if self._lines[kind] >= MAX_LINES_PER_SECOND[kind]:
+            self._dropped_lines += 1
             return
         self._lines[kind] += 1
         try:
@@ -84,14 +84,14 @@
         self._write(line)
 
     def flush(self) -> None:
-        """Write what waits, as far as the reader takes it now."""
+        """Write the buffered lines, as far as the stream accepts them now."""
         while self._pending:
             try:
                 written = os.write(self._descriptor, self._pending)
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody will read any more; there is nowhere left to say so.
+                # The reader has closed the stream; the error can't be logged either.
                 self._pending.clear()
                 return
             del self._pending[:written]
@@ -103,28 +103,30 @@
             return LineKind.FAILURE
         return LineKind.INFO
 
-    def _begin_second(self, second: int) -> None:
+    def _start_second(self, second: int) -> None:
         self._second = second
         self._lines.clear()
-        left_out, self._left_out = self._left_out, 0
-        if left_out:
-            self._write(json.dumps({"message": "lines left out", "count": left_out}))
+        dropped_lines, self._dropped_lines = self._dropped_lines, 0
+        if dropped_lines:
+            self._write(
+                json.dumps({"message": "lines left out", "count": dropped_lines})
+            )
 
     def _write(self, line: str) -> None:
         self.flush()
         data = line.encode("utf-8", "backslashreplace") + b"\n"
-        if len(self._pending) + len(data) > MOST_PENDING_BYTES:
-            self._left_out += 1
+        if len(self._pending) + len(data) > MAX_PENDING_BYTES:
+            self._dropped_lines += 1
             return
         self._pending += data
         self.flush()
 
 
 def make_bounded_handler(descriptor: int, request_logger: str) -> BoundedHandler:
-    """Return a handler that writes to a descriptor without waiting.
+    """Return a handler that writes to a descriptor without blocking.
 
     Args:
-        descriptor: Of the stream.
-        request_logger: The logger whose lines tell of one request each.
+        descriptor: The file descriptor of the stream.
+        request_logger: The name of the logger that writes one line per request.
     """
     return BoundedHandler(descriptor, request_logger=request_logger)
--- a/sesameford/logs.py
+++ b/sesameford/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line, with the ids of what is at hand."""
+"""Structured logs: one JSON object per line, with the ids of the current request."""
 
 import logging
 import sys
@@ -9,14 +9,14 @@
 
 from sesameford.settings import DaemonSettings
 
-# Ids of the request being served, added to each record written meanwhile.
+# Ids of the request being served; added to each record logged in its context.
 log_context: ContextVar[dict[str, str] | None] = ContextVar("log_context", default=None)
 
 _RESERVED = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime"}
 
 
 class JsonFormatter(logging.Formatter):
-    """Formats records as JSON with the instance's own ids."""
+    """Formats records as JSON with the ids of the instance."""
 
     def __init__(self, instance_id: str, data_centre: str) -> None:
         super().__init__()
@@ -43,11 +43,11 @@
 def configure_logging(
     settings: DaemonSettings, handler: logging.Handler | None = None
 ) -> None:
-    """Send all records to a handler in the form that the settings ask for.
+    """Send all records to a handler in the format of the settings.
 
     Args:
-        settings: Of the daemon.
-        handler: Standard error's where none is given.
+        settings: The settings of the daemon.
+        handler: The handler, by default one that writes to standard error.
     """
     handler = handler or logging.StreamHandler(sys.stderr)
     if settings.logging.format == "json":
--- a/sesameford/metrics.py
+++ b/sesameford/metrics.py
@@ -1,4 +1,4 @@
-"""Everything that an instance counts, under its public name."""
+"""The metrics of an instance, under their public names."""
 
 from aioprometheus import Counter, Gauge, Histogram, Registry
 
@@ -76,7 +76,7 @@
         )
 
     def observe_outcomes(self, outcomes: Outcomes, now_seconds: float) -> None:
-        """Take the figures behind outcomes."""
+        """Copy the counters of outcomes, retries and quarantine into the metrics."""
         budget = outcomes.budget
         self.retry_budget_refusals.set({}, budget.refused)
         self.first_attempts.set({}, budget.first_attempts)
--- a/sesameford/metrics_http.py
+++ b/sesameford/metrics_http.py
@@ -1,4 +1,4 @@
-"""The metrics of an instance, as text."""
+"""The HTTP endpoint for the metrics of an instance."""
 
 from collections.abc import Awaitable, Callable
 
@@ -10,7 +10,7 @@
 def make_metrics_handler(
     registry: Registry,
 ) -> Callable[[web.Request], Awaitable[web.Response]]:
-    """Return a handler that shows what a registry holds."""
+    """Return a handler that renders the metrics of a registry."""
 
     async def metrics(request: web.Request) -> web.Response:
         body, headers = render(registry, request.headers.getall("Accept", []))
@@ -20,7 +20,7 @@
 
 
 def make_metrics_app(registry: Registry) -> web.Application:
-    """Return an application for an address that serves metrics alone."""
+    """Return an application that serves only metrics."""
     app = web.Application()
     app.router.add_get("/metrics", make_metrics_handler(registry))
     return app
--- a/sesameford/traces.py
+++ b/sesameford/traces.py
@@ -1,4 +1,4 @@
-"""Traces with a span for each hop: accept, wait, dispatch, target, relay."""
+"""Tracing with a span for each step: accept, wait, dispatch, target, relay."""
 
 from collections.abc import Sequence
 from pathlib import Path
@@ -40,13 +40,13 @@
 
 
 def make_tracer_provider(settings: DaemonSettings) -> TracerProvider:
-    """Return a provider that exports as the settings say.
+    """Return a provider with the exporters of the settings.
 
     Args:
-        settings: Name the file, the OTLP address, both or neither.
+        settings: Settings with a file, an OTLP address, both or neither.
 
     Returns:
-        A provider; its ``shutdown`` writes what is still held.
+        A provider; its ``shutdown`` exports the spans that are still buffered.
     """
     resource = Resource.create(
         {
--- a/tests/test_bounded_log.py
+++ b/tests/test_bounded_log.py
@@ -7,10 +7,10 @@
 import pytest
 
 from sesameford.bounded_log import (
-    FAILURE_LINES_A_SECOND,
-    INFO_LINES_A_SECOND,
-    MOST_PENDING_BYTES,
-    STATE_LINES_A_SECOND,
+    FAILURE_LINES_PER_SECOND,
+    INFO_LINES_PER_SECOND,
+    MAX_PENDING_BYTES,
+    STATE_LINES_PER_SECOND,
     BoundedHandler,
 )
 
@@ -70,7 +70,7 @@
         clock.seconds = number / 200
         handler.emit(record(logging.WARNING))
     assert monotonic() - started < 5.0
-    assert len(handler._pending) <= MOST_PENDING_BYTES
+    assert len(handler._pending) <= MAX_PENDING_BYTES
     drain(handler, reader)
     clock.seconds += 1
     handler.emit(record(logging.WARNING, "last"))
@@ -84,17 +84,17 @@
     reader, writer = pipe
     clock = Clock()
     handler = BoundedHandler(writer, clock)
-    for _ in range(2 * INFO_LINES_A_SECOND):
+    for _ in range(2 * INFO_LINES_PER_SECOND):
         handler.emit(record(logging.INFO, "well"))
-    for _ in range(2 * FAILURE_LINES_A_SECOND):
+    for _ in range(2 * FAILURE_LINES_PER_SECOND):
         handler.emit(record(logging.WARNING, "failed"))
     clock.seconds = 1.0
     handler.emit(record(logging.INFO, "next"))
     seen = drain(handler, reader)
-    assert seen.count("well") == INFO_LINES_A_SECOND
-    assert seen.count("failed") == FAILURE_LINES_A_SECOND
-    left_out = INFO_LINES_A_SECOND + FAILURE_LINES_A_SECOND
-    assert f'{{"message": "lines left out", "count": {left_out}}}' in seen
+    assert seen.count("well") == INFO_LINES_PER_SECOND
+    assert seen.count("failed") == FAILURE_LINES_PER_SECOND
+    dropped_lines = INFO_LINES_PER_SECOND + FAILURE_LINES_PER_SECOND
+    assert f'{{"message": "lines left out", "count": {dropped_lines}}}' in seen
 
 
 def test_a_reader_that_is_gone_is_no_error():
@@ -113,10 +113,10 @@
     """
     reader, writer = pipe
     handler = BoundedHandler(writer, Clock(), "calls")
-    for _ in range(2 * FAILURE_LINES_A_SECOND):
+    for _ in range(2 * FAILURE_LINES_PER_SECOND):
         handler.emit(record(logging.WARNING, "failed", "calls"))
-    for _ in range(2 * STATE_LINES_A_SECOND):
+    for _ in range(2 * STATE_LINES_PER_SECOND):
         handler.emit(record(logging.INFO, "believes", "shares"))
     seen = drain(handler, reader)
-    assert seen.count("failed") == FAILURE_LINES_A_SECOND
-    assert seen.count("believes") == STATE_LINES_A_SECOND
+    assert seen.count("failed") == FAILURE_LINES_PER_SECOND
+    assert seen.count("believes") == STATE_LINES_PER_SECOND
