--- a/tests/operators_fixture.py
+++ b/tests/operators_fixture.py
@@ -1,4 +1,4 @@
-"""A single instance's operators' port over a tree machine, for tests."""
+"""The operators' port of one instance with a tree state machine, for tests."""
 
 from hashlib import sha256
 
@@ -21,7 +21,7 @@
 
 
 class FakeInstance:
-    """One instance; ``quorum`` and ``lose_answers`` bring about the failures."""
+    """One instance; tests inject failures by ``quorum`` and ``lose_answers``."""
 
     def __init__(self, machine: TreeMachine | None = None) -> None:
         self.machine = machine or TreeMachine(lambda _: None)
@@ -54,12 +54,15 @@
         )
         return StatusReport("e1", "a", InstanceState.READY, revision, rows)
 
-    def announce(self, news):
-        known = self.newest.get(news.target_id, (-1, -1))
-        if (news.incarnation, news.announcement_sequence) <= known:
+    def announce(self, announcement):
+        newest = self.newest.get(announcement.target_id, (-1, -1))
+        if (announcement.incarnation, announcement.announcement_sequence) <= newest:
             return False
-        self.newest[news.target_id] = (news.incarnation, news.announcement_sequence)
-        self.announced.append(news)
+        self.newest[announcement.target_id] = (
+            announcement.incarnation,
+            announcement.announcement_sequence,
+        )
+        self.announced.append(announcement)
         return True
 
     def leave(self, target_id, incarnation, sequence):
@@ -85,14 +88,14 @@
 
     async def start(self, ssl=None) -> "FakeInstance":
         @web.middleware
-        async def losing(request, handler):
+        async def lose_some_answers(request, handler):
             response = await handler(request)
             if self.lose_answers and request.path == "/tree/changes":
                 self.lose_answers -= 1
                 request.transport.abort()
             return response
 
-        app = web.Application(middlewares=[losing])
+        app = web.Application(middlewares=[lose_some_answers])
         app.add_routes(make_operators_routes(self.deps()))
         self.server = TestServer(app, scheme="https" if ssl else "http")
         await self.server.start_server(ssl=ssl)
--- a/tests/test_bounded_log.py
+++ b/tests/test_bounded_log.py
@@ -1,4 +1,4 @@
-"""Log lines under load, with a reader that stands still."""
+"""Log lines under load, with a reader that blocks or is gone."""
 
 import logging
 import os
@@ -26,7 +26,7 @@
 
 
 class Clock:
-    """A time that tests set."""
+    """A clock that tests set."""
 
     seconds = 0.0
 
@@ -49,7 +49,7 @@
 
 
 def drain(handler, reader):
-    """Read until nothing waits any more, and return the lines."""
+    """Read until the buffer is empty, and return the lines."""
     text = read_all(reader)
     while handler._pending:
         handler.flush()
@@ -57,10 +57,10 @@
     return text.splitlines()
 
 
-def test_a_reader_that_stands_still_holds_nothing_up(pipe):
-    """The process that collects the logs hangs while requests come in.
+def test_a_reader_that_blocks_does_not_block_the_handler(pipe):
+    """The process that collects the logs hangs while requests arrive.
 
-    Waiting for it, the router would pass no token on any more.
+    A router that waited for it would relay no tokens any more.
     """
     reader, writer = pipe
     clock = Clock()
@@ -79,8 +79,8 @@
     assert any("lines left out" in line for line in seen)
 
 
-def test_lines_of_failures_are_the_last_to_be_left_out(pipe):
-    """A flood of requests that went well must not push out the one that failed."""
+def test_lines_of_failures_have_a_limit_of_their_own(pipe):
+    """A burst of successful requests must not displace the line of a failed one."""
     reader, writer = pipe
     clock = Clock()
     handler = BoundedHandler(writer, clock)
@@ -106,10 +106,10 @@
     os.close(writer)
 
 
-def test_a_flood_of_requests_leaves_room_for_what_the_process_believes(pipe):
-    """One customer floods a router, and all lines of a second tell of its requests.
+def test_lines_about_state_have_a_limit_of_their_own(pipe):
+    """One customer overloads a router, and its requests fill the lines of a second.
 
-    Whose share was how much would not be written just when somebody asks for it.
+    The lines about shares would be missing just when an operator needs them.
     """
     reader, writer = pipe
     handler = BoundedHandler(writer, Clock(), "calls")
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -64,7 +64,7 @@
 
 
 async def test_a_data_centre_is_evacuated_and_restored(instance, capsys):
-    """The order is in history, and again is no change."""
+    """Each order is in the history, and a repeated order changes nothing."""
     for command, changed in (
         ("evacuate", True),
         ("evacuate", False),
@@ -78,7 +78,9 @@
     assert [one["paths"] for one in entries] == [["data_centres/b"]] * 2
 
 
-async def test_a_tree_in_force_is_applied_again_with_success(instance, tree, capsys):
+async def test_applying_a_tree_that_is_in_force_already_succeeds(
+    instance, tree, capsys
+):
     await run(instance, "apply", str(tree))
     memory_file(tree).unlink()
     capsys.readouterr()
@@ -86,16 +88,16 @@
     assert json.loads(capsys.readouterr().out)["changed"] is False
 
 
-async def test_any_instance_works(instance, tree):
+async def test_an_unreachable_instance_is_skipped(instance, tree):
     servers = [UNREACHABLE, instance.url]
     assert await run(instance, "apply", str(tree), servers=servers) == 0
     assert await run(instance, "apply", str(tree), servers=[UNREACHABLE]) == 4
 
 
-async def test_a_lost_answer_is_asked_for_again(instance, tree):
+async def test_a_change_is_sent_again_after_a_lost_answer(instance, tree):
     """The connection breaks after the change was accepted.
 
-    The tool sends it again under the same id and reports the first answer.
+    The tool sends it again with the same id and prints the first result.
     """
     instance.lose_answers = 1
     assert await run(instance, "apply", str(tree)) == 0
@@ -103,11 +105,11 @@
     assert instance.proposals == 2
 
 
-async def test_a_tool_that_gave_up_finds_its_change_id_again(instance, tree, capsys):
-    """No answer comes until the tool gives up; the operator runs it again later.
+async def test_a_later_run_sends_the_unanswered_change_id_again(instance, tree, capsys):
+    """The tool times out without an answer, and the operator runs it again later.
 
-    Meanwhile another change was accepted on top. A new change id would be told of
-    a conflict with the operator's own change.
+    Meanwhile another change was accepted after it. A new change id would get a
+    conflict with the operator's own change.
     """
     instance.lose_answers = 1_000
     assert await run(instance, "apply", str(tree)) == 4
@@ -123,10 +125,10 @@
     assert read_memory(memory_file(tree)).pending is None
 
 
-async def test_a_file_that_is_behind_is_a_conflict(instance, tree):
-    """A colleague applies a change between two of ours.
+async def test_a_file_based_on_an_older_revision_is_a_conflict(instance, tree):
+    """Another operator applies a change between two changes of one file.
 
-    Without the revision that our file is based on, the second would undo theirs.
+    Without the file's base revision the second would revert the other operator's.
     """
     await run(instance, "apply", str(tree))
     other = tree.with_name("other.yaml")
@@ -138,14 +140,14 @@
 
 
 async def test_without_a_quorum_the_exit_code_is_4(instance, tree):
-    """Too few replicas are up; the change may be tried again later as it is."""
+    """Too few replicas are up; the same change can be sent again later."""
     instance.quorum = False
     assert await run(instance, "apply", str(tree)) == 4
     instance.quorum = True
     assert await run(instance, "apply", str(tree)) == 0
 
 
-async def test_waiting_names_who_is_behind(instance, tree, capsys):
+async def test_wait_prints_the_instances_that_are_behind(instance, tree, capsys):
     assert await run(instance, "apply", str(tree), "--wait") == 0
     assert "unknown: e2" in capsys.readouterr().out
     instance.lagging = True
@@ -155,13 +157,13 @@
     assert "e1" in capsys.readouterr().err
 
 
-async def test_a_wrong_key_is_told(instance, tree, monkeypatch):
+async def test_a_wrong_key_exits_with_5(instance, tree, monkeypatch):
     monkeypatch.setenv("SESAMEFORD_OPERATOR_KEY", "wrong")
     assert await run(instance, "status") == 5
     assert await run(instance, "apply", str(tree)) == 5
 
 
-def test_validate_asks_nobody(tree, capsys):
+def test_validate_needs_no_instance(tree, capsys):
     assert main(["validate", str(tree)]) == 0
     tree.write_text("customers: {children: {a: {share: -1}}}")
     assert main(["validate", str(tree)]) == 2
@@ -202,10 +204,10 @@
     return files
 
 
-async def test_an_instance_of_another_authority_is_not_told_the_key(tmp_path):
-    """Somebody else answers at an instance's address.
+async def test_the_key_is_not_sent_to_an_instance_of_another_authority(tmp_path):
+    """Another server answers at the address of an instance.
 
-    Without the check of its identity the tool would hand it the operator's key.
+    Without a check of its certificate the tool would send it the operator's key.
     """
     certificate_file, key_file = write_identity(tmp_path)
     context = create_default_context(Purpose.CLIENT_AUTH)
--- a/tests/test_instance.py
+++ b/tests/test_instance.py
@@ -82,7 +82,7 @@
         return answer.status, await answer.json()
 
 
-async def test_a_change_through_one_instance_is_in_force_at_all(tmp_path):
+async def test_a_change_through_one_instance_is_in_force_at_every_instance(tmp_path):
     settings = make_settings(tmp_path, 4, 3)
     async with running(settings) as instances, ClientSession() as session:
         status, answer = await apply_tree(session, settings[3], "c1", 0, TREE)
@@ -92,10 +92,10 @@
             assert instance.router.tree.customers["club"].share == 2
 
 
-async def test_the_leader_pushes_changes_to_those_who_do_not_ask(tmp_path, monkeypatch):
-    """Nobody asks for what is missing, as though all heartbeats were lost.
+async def test_the_leader_pushes_changes_that_were_not_requested(tmp_path, monkeypatch):
+    """No instance requests missing changes, as if all heartbeats were lost.
 
-    Without the push a change would wait for a heartbeat and a question instead.
+    Without the push a change would wait for a heartbeat and a request.
     """
     monkeypatch.setattr(TreeReplication, "collect_requests", lambda *_: ())
     settings = make_settings(tmp_path, 4, 3)
@@ -106,7 +106,7 @@
         assert await instances[3].tree.wait_for_revision(1, 5)
 
 
-async def test_a_replica_gives_up_its_vote_by_the_tree(tmp_path):
+async def test_the_tree_removes_and_restores_the_vote_of_a_replica(tmp_path):
     settings = make_settings(tmp_path, 3, 3)
     tree = TREE + "instances: {children: {e2: {voter: false}}}\n"
 
@@ -123,19 +123,19 @@
         await until(lambda: votes(instances[0]) == {"e0", "e1", "e2"})
 
 
-def test_a_tree_can_not_take_every_vote():
-    """An operator takes the vote from each replica in one change.
+def test_a_tree_cannot_remove_every_vote():
+    """An operator removes the vote of every replica in one change.
 
-    Followed to the word, no later change could ever be accepted.
+    If it were applied, no later change could ever be accepted.
     """
 
-    def wanted(*unwanted):
-        instances = {one: InstanceSettings(one, voter=False) for one in unwanted}
+    def voters_without(*removed):
+        instances = {one: InstanceSettings(one, voter=False) for one in removed}
         return desired_voters(EffectiveTree(1, instances=instances), ("a", "b"))
 
-    assert wanted() is None
-    assert wanted("a", "x") == {"b"}
-    assert wanted("a", "b") is None
+    assert voters_without() is None
+    assert voters_without("a", "x") == {"b"}
+    assert voters_without("a", "b") is None
 
 
 async def until(condition, limit_seconds=20):
@@ -144,11 +144,11 @@
             await sleep(0.02)
 
 
-async def test_an_instance_that_restarts_empty_takes_the_tree(tmp_path):
-    """An instance without a disk is restarted and knows nothing any more.
+async def test_an_instance_that_restarts_empty_receives_the_tree(tmp_path):
+    """An instance without a disk loses its tree at a restart.
 
-    If it called itself ready before it has the tree, callers with good keys would
-    be refused there.
+    If it reported that it is ready before it has the tree, it would refuse callers
+    with valid keys.
     """
     settings = make_settings(tmp_path, 2, 1)
     async with running(settings[:1]) as (first,), ClientSession() as session:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""The table of members takes no news from the past and forgets nothing it must keep."""
+"""The members' table ignores outdated rows and keeps the rows of silent instances."""
 
 from sesameford.members import make_members
 from sesameford.messages import Heartbeat, MemberRow, MembersUpdate
@@ -13,10 +13,10 @@
     )
 
 
-def test_a_late_heartbeat_of_an_old_process_changes_nothing():
-    """An instance restarts, and a heartbeat that its old process sent arrives late.
+def test_a_late_heartbeat_of_an_older_incarnation_changes_nothing():
+    """An instance restarts, and a heartbeat of its old process arrives late.
 
-    Taken for news, the restarted instance would seem to hold an older tree.
+    If it were recorded, the restarted instance would seem to hold an older tree.
     """
     members = make_members("r1", 1, "a")
     members.handle_heartbeat("r2", 8, Heartbeat("a", READY, 5, 3), 1.0)
@@ -25,8 +25,8 @@
     assert members.highest_revision() == 5
 
 
-def test_a_row_from_the_past_changes_nothing():
-    """A hub passes on, late, what it knew before the instance was found again."""
+def test_an_outdated_row_changes_nothing():
+    """A hub's row that marks an instance silent arrives after a newer row."""
     members = make_members("r1", 1, "a", peer_hubs=["h"])
     members.handle_heartbeat("h", 1, Heartbeat("a", READY, 1, 1, True, 0, ("a",)), 1.0)
     members.handle_update("h", MembersUpdate((row(change_number=2),)), 1.0)
@@ -36,11 +36,11 @@
     assert "r2" in members.live(1.2)
 
 
-def test_a_hub_that_restarts_empty_gets_back_what_it_lost():
-    """The only hub of a deployment restarts empty, and one instance is down.
+def test_a_hub_that_restarts_empty_receives_the_rows_it_lost():
+    """The only hub of a deployment restarts empty while one instance is down.
 
-    Nothing tells the hub of that one, the digests differ for good, and every other
-    instance would ask for the whole table every two seconds.
+    Without a row of that instance at the hub, the digests would differ for ever, and
+    every other instance would request the whole table every two seconds.
     """
     members = make_members("r1", 1, "a", peer_hubs=["h"])
     members.handle_update(
--- a/tests/test_members_fuzz.py
+++ b/tests/test_members_fuzz.py
@@ -1,4 +1,4 @@
-"""Who lives, told on by hubs over a lossy network, and messages by way of them."""
+"""Membership and messages relayed by hubs over a lossy network."""
 
 from random import Random
 
@@ -18,20 +18,24 @@
 from sesameford.tables import InstanceState
 
 STEP_SECONDS = 0.25
-BEAT_STEPS = 2
+HEARTBEAT_STEPS = 2
 SETTLE_SECONDS = 12.0
-PLACES = {"a": ("ah1", "ah2", "ar1"), "b": ("bh1", "br1", "br2"), "c": ("ch1", "cr1")}
-NAMES = tuple(name for names in PLACES.values() for name in names)
+NAMES_BY_DATA_CENTRE = {
+    "a": ("ah1", "ah2", "ar1"),
+    "b": ("bh1", "br1", "br2"),
+    "c": ("ch1", "cr1"),
+}
+NAMES = tuple(name for names in NAMES_BY_DATA_CENTRE.values() for name in names)
 HUBS = tuple(name for name in NAMES if name[1] == "h")
 
 
 class Node:
-    """One instance: its members, its overlay and what was delivered to it."""
+    """One instance: its members, its overlay and the messages delivered to it."""
 
     def __init__(self, world, name, incarnation):
         self.name = name
         self.is_hub = name in HUBS
-        own = PLACES[name[0]]
+        own = NAMES_BY_DATA_CENTRE[name[0]]
         peers = own if self.is_hub else [one for one in own if one in HUBS]
         if self.is_hub:
             peers = {*own, *HUBS}
@@ -45,11 +49,13 @@
             topology,
             self.members,
             lambda outgoing: world.put_on_links(self, outgoing),
-            lambda origin, inc, message: self.take(world, origin, inc, message),
+            lambda origin, inc, message: self.handle_message(
+                world, origin, inc, message
+            ),
         )
         self.incarnation = incarnation
 
-    def take(self, world, origin, incarnation, message):
+    def handle_message(self, world, origin, incarnation, message):
         if isinstance(message, Heartbeat):
             self.members.handle_heartbeat(origin, incarnation, message, world.now)
         else:
@@ -67,7 +73,7 @@
         self.wire = []
         self.late = []
         self.sent = 0
-        self.wanted = 0
+        self.members_requests = 0
         self.starts = 0
         self.nodes = {}
         for name in NAMES:
@@ -96,7 +102,9 @@
         loss=st.sampled_from((0.0, 0.3)),
     )
     def network_worsens(self, places, names, loss):
-        self.cut = frozenset(names) | {n for p in places for n in PLACES[p]}
+        self.cut = frozenset(names) | {
+            n for p in places for n in NAMES_BY_DATA_CENTRE[p]
+        }
         self.loss = loss
 
     @rule(count=st.integers(1, 20))
@@ -107,11 +115,11 @@
     @rule()
     def heal_and_all_agree(self):
         self.settle()
-        self.wanted = 0
+        self.members_requests = 0
         for _ in range(16):
             self.step()
-        # Digests that differ for good would send whole tables for ever.
-        assert self.wanted == 0
+        # Digests that never agree would cause requests of whole tables for ever.
+        assert self.members_requests == 0
         up = set(self.nodes)
         for name, node in self.nodes.items():
             expected = self.visible_from(name, up)
@@ -154,11 +162,15 @@
         assert self.sent - before <= 4 * len(NAMES)
 
     def visible_from(self, name, up):
-        """Return whom an instance can know of: those with a way by hubs."""
+        """Return the instances that are reachable from one, directly or by hubs."""
         visible = set()
-        for place, names in PLACES.items():
+        for place, names in NAMES_BY_DATA_CENTRE.items():
             hubs = [one for one in names if one in HUBS and one in up]
-            own_hubs = [one for one in PLACES[name[0]] if one in HUBS and one in up]
+            own_hubs = [
+                one
+                for one in NAMES_BY_DATA_CENTRE[name[0]]
+                if one in HUBS and one in up
+            ]
             if (hubs and own_hubs) or (place == name[0] and name in HUBS):
                 visible |= {one for one in names if one in up}
         return visible - {name}
@@ -176,12 +188,12 @@
     def step(self):
         self.now += STEP_SECONDS
         self.steps += 1
-        if self.steps % BEAT_STEPS == 0:
+        if self.steps % HEARTBEAT_STEPS == 0:
             for node in list(self.nodes.values()):
-                beat = node.members.heartbeat(
+                heartbeat = node.members.heartbeat(
                     InstanceState.READY, node.revision, self.now
                 )
-                self.put_on_links(node, Outgoing(None, beat))
+                self.put_on_links(node, Outgoing(None, heartbeat))
                 node.overlay.tick(self.now)
         if self.random.random() < 0.3:
             self.wire += self.late
@@ -209,7 +221,7 @@
         for receiver in receivers:
             assert receiver in node.peers
             self.sent += 1
-            self.wanted += isinstance(outgoing.message, MembersRequest)
+            self.members_requests += isinstance(outgoing.message, MembersRequest)
             for _ in range(1 + (self.random.random() < 0.05 * (self.loss > 0))):
                 if self.random.random() >= self.loss:
                     item = (node.name, node.incarnation, receiver, outgoing.message)
--- a/tests/test_operation_files.py
+++ b/tests/test_operation_files.py
@@ -1,4 +1,4 @@
-"""Alert rules and dashboard speak of metrics that exist, and the page of each alert."""
+"""Alert rules and the dashboard use existing metrics; each alert is documented."""
 
 import json
 import re
@@ -11,7 +11,7 @@
 METRIC = re.compile(r"sesameford_[a-z_]+")
 
 
-def known_metrics():
+def exported_metrics():
     return set(Metrics().registry.collectors)
 
 
@@ -27,7 +27,7 @@
 
 def test_the_rules_use_metrics_that_exist_and_are_explained():
     rules = read_rules()
-    assert used_metrics(rule["expr"] for rule in rules) <= known_metrics()
+    assert used_metrics(rule["expr"] for rule in rules) <= exported_metrics()
     page = (ROOT / "docs/OPERATING.md").read_text(encoding="utf-8")
     explained = re.findall(r"^### (\w+)$", page, re.MULTILINE)
     assert sorted(explained) == sorted(rule["alert"] for rule in rules)
@@ -41,5 +41,5 @@
         for target in panel["targets"]
     ]
     shown = used_metrics(expressions)
-    assert shown <= known_metrics()
-    assert known_metrics() - shown <= {"sesameford_first_attempts_total"}
+    assert shown <= exported_metrics()
+    assert exported_metrics() - shown <= {"sesameford_first_attempts_total"}
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' port refuses what is wrong and changes nothing then."""
+"""The operators' port: accepted and refused requests."""
 
 import json
 
@@ -62,10 +62,10 @@
     ]
 
 
-async def test_of_two_changes_with_equal_base_one_is_told_of_the_other(instance):
-    """Two operators start from the same revision and send at the same time.
+async def test_the_second_of_two_changes_with_the_same_base_is_a_conflict(instance):
+    """Two operators send changes that are based on the same revision.
 
-    Were both accepted, the second would undo the first one's work unseen.
+    If both were accepted, the second would silently revert the first.
     """
     await call(instance, "POST", "/tree/changes", change())
     other = change("customers: {children: {b: {}}}", "c2")
@@ -75,9 +75,9 @@
 
 
 async def test_a_resend_gets_the_first_answer(instance):
-    """An answer is lost on the way and the operator's tool sends again.
+    """The response is lost and the operator's tool sends the change again.
 
-    Without its change id it would be told of a conflict with itself.
+    Without its change id it would get a conflict with its own change.
     """
     first = await call(instance, "POST", "/tree/changes", change())
     await call(instance, "POST", "/tree/changes", change("{}", "c2", 1))
@@ -94,10 +94,10 @@
     assert answer == (200, {"change_id": "c2", "revision": 1, "changed": False})
 
 
-async def test_without_a_quorum_a_change_is_refused_and_reading_goes_on(instance):
-    """A data centre is cut off from the majority of replicas.
+async def test_without_a_quorum_changes_are_refused_and_reads_still_work(instance):
+    """A data centre is disconnected from the majority of replicas.
 
-    The operator hears why, and that the change may be sent again.
+    The response gives the reason, and the tree and its history can still be read.
     """
     await call(instance, "POST", "/tree/changes", change())
     instance.quorum = False
@@ -108,10 +108,10 @@
     assert len((await call(instance, "GET", "/tree/history"))[1]) == 1
 
 
-async def test_a_log_that_fails_is_told_as_such(instance):
-    """The disk of the replica that took the change fails under it.
+async def test_a_failed_log_is_reported(instance):
+    """The disk of the replica fails while it handles a change.
 
-    The operator is told, and another instance can be tried with the same change.
+    The response says so, and the same change can be sent to another instance.
     """
     instance.log_error = LogError("the disk of this replica failed")
     status, body = await call(instance, "POST", "/tree/changes", change())
@@ -136,7 +136,9 @@
         ("GET", "/status"),
     ],
 )
-async def test_without_an_operators_key_nothing_is_told(instance, method, path, key):
+async def test_without_an_operators_key_every_request_is_refused(
+    instance, method, path, key
+):
     status, body = await call(instance, method, path, change(), key=key)
     assert status == 401
     assert body["reason"] in ("no-key", "wrong-key")
@@ -259,7 +261,7 @@
 
 
 async def test_the_tree_limits_the_lease_of_targets(instance):
-    """A target asks for a lease of a minute and vanishes.
+    """A target requests a lease of a minute and disappears.
 
     Every router would send it work for that minute.
     """
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""A drain in the tree and SIGTERM take the same way out."""
+"""A drain in the tree starts the same planned stop as SIGTERM."""
 
 from sesameford.effective import EffectiveTree, InstanceSettings
 from sesameford.instance import Instance
@@ -6,9 +6,9 @@
 from tests.test_instance import make_settings
 
 
-async def test_a_drain_in_the_tree_stops_the_instance_and_can_be_taken_back(tmp_path):
-    """An operator drains an instance before its machine is serviced, sees that it was
-    the wrong one, and takes the change back while callers are still being served."""
+async def test_a_drain_in_the_tree_stops_the_instance_and_can_be_cancelled(tmp_path):
+    """An operator drains the wrong instance before maintenance, and reverts the change
+    while callers are still being served."""
     (settings,) = make_settings(tmp_path, 1, 0)
     instance = Instance(settings, "settings.yaml")
 
