--- a/sesameford/operators.py
+++ b/sesameford/operators.py
@@ -75,7 +75,7 @@
             refuses every announcement.
         store: Returns the tree in force at this instance.
         propose: Commits a command to the replicated log and returns its result.
-        caught_up: Waits until this instance's tree has at least a revision;
+        wait_for_revision: Waits until this instance's tree has at least a revision;
             returns False after the given timeout in seconds.
         local_history: Returns the accepted changes stored at this instance, newest
             first, or None if it stores none; used without a quorum.
