--- a/sesameford/bounded_log.py
+++ b/sesameford/bounded_log.py
@@ -3,7 +3,7 @@
 A process that logs a line for each request would block with its reader: when the pipe
 is full, each write waits, and all streams to callers pause at once. So writes never
 block, the buffer of unwritten lines is bounded, and so is the number of lines per
-second, with the lowest limit for successful requests.
+second. Successful requests have a lower limit than failed ones.
 """
 
 import json
