--- a/sesameford/instance.py
+++ b/sesameford/instance.py
@@ -162,7 +162,7 @@
             crc32(settings.instance_id.encode()) ^ self.incarnation, self._send
         )
         ports = KeyedPorts(
-            self._log.propose, self._owner_queries.ask, asyncio.sleep, time
+            self._log.propose, self._owner_queries.query_owner, asyncio.sleep, time
         )
         self.keyed = KeyedRequests(settings.instance_id, self.incarnation, ports)
         self.outcomes.keyed = self.keyed
