--- a/benchmarks/fairness_bench.py
+++ b/benchmarks/fairness_bench.py
@@ -129,7 +129,7 @@
         make_scheduler, routers, targets, tree, seed, network, UNITS_PER_SECOND
     )
     fleet.run(seconds, load.arrive)
-    warm = replace(fleet.counted, start_delays_seconds=[])
+    warm = replace(fleet.measurements, start_delays_seconds=[])
     phases: dict[str, float] = {}
     samples: list[float] = []
     starved: set[str] = set()
@@ -147,7 +147,7 @@
         )
         if phase != "cut-off":
             samples.extend(fleet.gaps.samples)
-    counted = fleet.counted
+    counted = fleet.measurements
     spent = seconds * len(PHASES) * ROUTERS
     busy = counted.busy_slot_seconds - warm.busy_slot_seconds
     offered = counted.backlogged_slot_seconds - warm.backlogged_slot_seconds
@@ -199,7 +199,7 @@
         fleet.start_router("e1")
     elif phase == "cut-off":
         lost = max(deployment.engines)
-        cut = {name for name, place in fleet.places.items() if place == lost}
+        cut = {name for name, place in fleet.data_centres.items() if place == lost}
         fleet.network.cut = _between(cut)
     elif phase == "healed":
         fleet.network.cut = lambda sender, receiver: False
--- a/benchmarks/fairness_slopes.py
+++ b/benchmarks/fairness_slopes.py
@@ -92,22 +92,22 @@
     own_send = fleet._send
 
     def send(sender: str, outgoing: object) -> None:
-        before = (fleet.counted.bytes_sent, fleet.counted.messages_sent)
+        before = (fleet.measurements.bytes_sent, fleet.measurements.messages_sent)
         own_send(sender, outgoing)
         if sender != names[0]:
-            sent.bytes_sent += fleet.counted.bytes_sent - before[0]
-            sent.messages += fleet.counted.messages_sent - before[1]
+            sent.bytes_sent += fleet.measurements.bytes_sent - before[0]
+            sent.messages += fleet.measurements.messages_sent - before[1]
 
     fleet._send = send  # type: ignore[method-assign]
     fleet.run(seconds, arrive)
     sent.bytes_sent = sent.messages = 0
-    total_before = fleet.counted.bytes_sent
-    began = fleet.counted.decide_seconds
-    started = fleet.counted.started
+    total_before = fleet.measurements.bytes_sent
+    began = fleet.measurements.decide_seconds
+    started = fleet.measurements.started
     fleet.run(seconds, arrive)
     others = max(routers - 1, 1) * seconds
-    allocator_bytes = fleet.counted.bytes_sent - total_before - sent.bytes_sent
-    started = fleet.counted.started - started
+    allocator_bytes = fleet.measurements.bytes_sent - total_before - sent.bytes_sent
+    started = fleet.measurements.started - started
     return {
         "routers": routers,
         "customers": customers,
@@ -117,7 +117,7 @@
         "router_received_bytes_per_second": round(allocator_bytes / others),
         "router_messages_per_second": round(sent.messages / others, 2),
         "processor_seconds_per_router_second": round(
-            (fleet.counted.decide_seconds - began) / seconds / routers, 4
+            (fleet.measurements.decide_seconds - began) / seconds / routers, 4
         ),
         "waiting_requests": sum(map(len, fleet.waiting.values())),
         "utilisation_while_backlogged": round(fleet.utilisation_while_backlogged(), 4),
--- a/standins/virtual_fleet.py
+++ b/standins/virtual_fleet.py
@@ -61,7 +61,7 @@
 
 
 @dataclass(slots=True)
-class Counted:
+class Measurements:
     """What is measured."""
 
     bytes_sent: int = 0
@@ -75,7 +75,7 @@
     backlogged_slot_seconds: float = 0.0
     idle_run_seconds: float = 0.0
     longest_idle_seconds: float = 0.0
-    most_running_over: int = 0
+    max_overfill_requests: int = 0
     start_delays_seconds: list[float] = field(default_factory=list)
 
 
@@ -117,7 +117,7 @@
     def __init__(
         self,
         make_scheduler: MakeScheduler,
-        places: Mapping[str, str],
+        data_centres: Mapping[str, str],
         targets: Mapping[str, Target],
         tree: EffectiveTree,
         seed: int = 0,
@@ -126,11 +126,11 @@
     ) -> None:
         self.now_seconds = 100.0
         self.tree = tree
-        self.places = dict(places)
+        self.data_centres = dict(data_centres)
         self.targets = dict(targets)
         self.network = network or Network()
         self.random = Random(seed)
-        self.counted = Counted()
+        self.measurements = Measurements()
         self.served: dict[str, float] = {}
         self.gaps = GapMeter(
             {name: customer.share for name, customer in tree.customers.items()}
@@ -149,7 +149,7 @@
         self._progressed_at = float("-inf")
         self._sampled_at = float("-inf")
         self._heard: dict[tuple[str, str], float] = {}
-        for router_id in places:
+        for router_id in data_centres:
             self.start_router(router_id)
 
     # --- events ------------------------------------------------------------------
@@ -162,7 +162,7 @@
             runs[:] = [run for run in runs if run.router_id != router_id]
         self.waiting[router_id] = {}
         scheduler = self._make_scheduler(
-            router_id, incarnation, self.places[router_id], incarnation
+            router_id, incarnation, self.data_centres[router_id], incarnation
         )
         self.routers[router_id] = scheduler
         scheduler.configure(self.tree, self.now_seconds)
@@ -207,7 +207,7 @@
         try:
             self.routers[router_id].submit(request, self.now_seconds)
         except NotRunError:
-            self.counted.refused += 1
+            self.measurements.refused += 1
             return False
         self._costs[request.request_id] = cost_units
         self.waiting[router_id][request.request_id] = request
@@ -235,11 +235,11 @@
             began = process_time()
             for request_id in scheduler.remove_expired(self.now_seconds):
                 self.waiting[router_id].pop(request_id)
-                self.counted.expired += 1
+                self.measurements.expired += 1
             attempts = scheduler.decide(self.now_seconds)
             outgoing = scheduler.collect_outgoing(self.now_seconds)
-            self.counted.decide_seconds += process_time() - began
-            self.counted.decisions += 1
+            self.measurements.decide_seconds += process_time() - began
+            self.measurements.decisions += 1
             for attempt in attempts:
                 self._start(router_id, attempt)
             self._send(router_id, outgoing)
@@ -256,12 +256,12 @@
                 sender: InstanceRow(
                     sender,
                     self.incarnations[sender],
-                    self.places[sender],
+                    self.data_centres[sender],
                     InstanceState.READY,
                     1,
                     self._heard[(receiver, sender)],
                 )
-                for sender in self.places
+                for sender in self.data_centres
                 if (receiver, sender) in self._heard
                 and self.now_seconds - self._heard[(receiver, sender)] < 5.0
             }
@@ -276,7 +276,7 @@
                 self.routers[receiver].handle_message(
                     sender, incarnation, message, self.now_seconds
                 )
-                self.counted.decide_seconds += process_time() - began
+                self.measurements.decide_seconds += process_time() - began
 
     def _send(self, sender: str, outgoing: object) -> None:
         """Put messages on their way, joined by receiver, and count their bytes."""
@@ -292,8 +292,8 @@
                 sender, incarnation, sequence, (1, sequence), tuple(messages)
             )
             encoded = encode_envelope(envelope)
-            self.counted.bytes_sent += len(encoded) + WIRE_OVERHEAD_BYTES
-            self.counted.messages_sent += 1
+            self.measurements.bytes_sent += len(encoded) + WIRE_OVERHEAD_BYTES
+            self.measurements.messages_sent += 1
             if network.cut(sender, receiver) or self.random.random() < network.loss:
                 continue
             copies = 2 if self.random.random() < network.doubling else 1
@@ -311,8 +311,8 @@
         request = self.waiting[router_id].pop(attempt.request_id)
         cost = self._costs.pop(attempt.request_id)
         self._runs[attempt.target_id].append(_Run(router_id, attempt, cost))
-        self.counted.started += 1
-        self.counted.start_delays_seconds.append(
+        self.measurements.started += 1
+        self.measurements.start_delays_seconds.append(
             self.now_seconds - request.arrived_at_seconds
         )
 
@@ -359,25 +359,27 @@
 
     def _measure(self) -> None:
         """Count use of capacity while work waits, and sample the gap."""
-        counted = self.counted
+        measurements = self.measurements
         slots = sum(target.capacity_slots for target in self.targets.values())
         busy = 0
         for target_id, target in self.targets.items():
             running = len(self._runs[target_id])
             busy += min(running, target.capacity_slots)
             over = running - target.capacity_slots
-            counted.most_running_over = max(counted.most_running_over, over)
+            measurements.max_overfill_requests = max(
+                measurements.max_overfill_requests, over
+            )
         if any(self.waiting.values()):
-            counted.busy_slot_seconds += busy * STEP_SECONDS
-            counted.backlogged_slot_seconds += slots * STEP_SECONDS
+            measurements.busy_slot_seconds += busy * STEP_SECONDS
+            measurements.backlogged_slot_seconds += slots * STEP_SECONDS
             if busy < slots:
-                counted.idle_run_seconds += STEP_SECONDS
+                measurements.idle_run_seconds += STEP_SECONDS
             else:
-                counted.idle_run_seconds = 0.0
+                measurements.idle_run_seconds = 0.0
         else:
-            counted.idle_run_seconds = 0.0
-        counted.longest_idle_seconds = max(
-            counted.longest_idle_seconds, counted.idle_run_seconds
+            measurements.idle_run_seconds = 0.0
+        measurements.longest_idle_seconds = max(
+            measurements.longest_idle_seconds, measurements.idle_run_seconds
         )
         if self.now_seconds - self._sampled_at >= _SAMPLE_SECONDS:
             self._sampled_at = self.now_seconds
@@ -385,19 +387,21 @@
 
     def utilisation_while_backlogged(self) -> float:
         """Return the part of the slots in use while any request waited."""
-        counted = self.counted
-        if counted.backlogged_slot_seconds == 0.0:
+        measurements = self.measurements
+        if measurements.backlogged_slot_seconds == 0.0:
             return 1.0
-        return counted.busy_slot_seconds / counted.backlogged_slot_seconds
+        return measurements.busy_slot_seconds / measurements.backlogged_slot_seconds
 
 
 def make_targets(
-    places: Mapping[str, int], slots: int, serves: tuple[str, ...] = ("m",)
+    engines_by_data_centre: Mapping[str, int],
+    slots: int,
+    serves: tuple[str, ...] = ("m",),
 ) -> dict[str, Target]:
     """Return model engines, some in each data centre.
 
     Args:
-        places: How many in each data centre.
+        engines_by_data_centre: Number of engines in each data centre.
         slots: Requests that each runs at once.
         serves: The models.
 
@@ -406,9 +410,9 @@
     """
     row = Target("", 1, TargetKind.MODEL, serves, "http://127.0.0.1:1", "", slots, 1e12)
     return {
-        f"{place}-t{number}": replace(
-            row, target_id=f"{place}-t{number}", data_centre=place
+        f"{data_centre}-t{number}": replace(
+            row, target_id=f"{data_centre}-t{number}", data_centre=data_centre
         )
-        for place, engines in places.items()
+        for data_centre, engines in engines_by_data_centre.items()
         for number in range(engines)
     }
--- a/tests/test_fair_fleet_machine.py
+++ b/tests/test_fair_fleet_machine.py
@@ -97,7 +97,7 @@
 
     @rule(fault=st.sampled_from(FAULTS), router=st.sampled_from(sorted(ROUTERS)))
     def break_or_mend(self, fault, router):
-        places = self.fleet.places
+        places = self.fleet.data_centres
         network = self.fleet.network
         if fault == "restart empty":
             self.fleet.start_router(router)
--- a/tests/test_leased.py
+++ b/tests/test_leased.py
@@ -26,7 +26,7 @@
 def make_arrivals(fleet, per_second, seed=1, mean_cost=100.0):
     random = Random(seed)
     customers = sorted(fleet.tree.customers)
-    routers = sorted(fleet.places)
+    routers = sorted(fleet.data_centres)
 
     def arrive(fleet):
         if random.random() < per_second * 0.01:
@@ -42,9 +42,9 @@
     fleet = make_fleet(routers, {f"p{number}": 2 for number in range(places)})
     fleet.run(10.0, make_arrivals(fleet, 5.0 * places))
     fleet.run(15.0)
-    assert fleet.counted.started > 30
+    assert fleet.measurements.started > 30
     assert not fleet.backlogged()
-    assert fleet.counted.most_running_over <= 0
+    assert fleet.measurements.max_overfill_requests <= 0
 
 
 def test_messages_lost_doubled_and_late_do_not_stop_work():
@@ -57,4 +57,4 @@
     fleet.run(15.0, make_arrivals(fleet, 20.0))
     fleet.run(20.0)
     assert not fleet.backlogged()
-    assert fleet.counted.most_running_over <= 0
+    assert fleet.measurements.max_overfill_requests <= 0
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -50,7 +50,7 @@
     fleet.run(6.0)
     served = served_in(fleet, 5.0)
     assert sum(served.values()) >= 0.9 * 5.0 * 100.0 * 2 * SLOTS
-    assert fleet.counted.most_running_over <= 0
+    assert fleet.measurements.max_overfill_requests <= 0
 
 
 def longest_wait(fleet, name, seconds):
@@ -90,7 +90,7 @@
     assert served["c0"] > 0.0
     assert sum(served.values()) >= 0.9 * 5.0 * 100.0 * 2 * SLOTS
     # The isolated instance also acts as the allocator and may fill a target.
-    assert fleet.counted.most_running_over <= SLOTS
+    assert fleet.measurements.max_overfill_requests <= SLOTS
     fleet.network.cut = lambda sender, receiver: False
     fleet.run(15.0)
     assert all(fleet.running(target) <= SLOTS for target in fleet.targets)
@@ -102,7 +102,7 @@
     The only customer of one side gets twice the service of each of the other two.
     After the partition it must wait briefly, not until the others have caught up.
     """
-    places = fleet.places
+    places = fleet.data_centres
     fleet.network.cut = lambda one, other: places[one] != places[other]
     apart = served_in(fleet, 60.0)
     assert apart["c0"] > 1.5 * apart["c1"]
