--- a/benchmarks/fairness_slopes.py
+++ b/benchmarks/fairness_slopes.py
@@ -89,7 +89,7 @@
             fleet.submit(router, f"c{customer}", cost, cost)
 
     sent = _Sent()
-    own_send = fleet._send
+    own_send = fleet._send_messages
 
     def send(sender: str, outgoing: object) -> None:
         before = (fleet.measurements.bytes_sent, fleet.measurements.messages_sent)
@@ -98,7 +98,7 @@
             sent.bytes_sent += fleet.measurements.bytes_sent - before[0]
             sent.messages += fleet.measurements.messages_sent - before[1]
 
-    fleet._send = send  # type: ignore[method-assign]
+    fleet._send_messages = send  # type: ignore[method-assign]
     fleet.run(seconds, arrive)
     sent.bytes_sent = sent.messages = 0
     total_before = fleet.measurements.bytes_sent
--- a/standins/virtual_fleet.py
+++ b/standins/virtual_fleet.py
@@ -1,8 +1,9 @@
-"""Schedulers joined in virtual time: messages under way, slots, a true account.
+"""Simulates the schedulers of several routers in virtual time, without a cluster.
 
-No cluster: the deciding code of each router, a list of messages that may be lost,
-late, doubled or overtaken, and targets that are slots with the true costs. The
-true service per customer is what an oracle would know.
+Each router runs the product's scheduler. Messages between routers can be lost, delayed,
+duplicated or reordered. A target is a number of slots that serve the true cost of each
+request. The true service of each customer is recorded for comparison with the
+scheduler's estimates.
 """
 
 from collections.abc import Callable, Mapping
@@ -40,8 +41,8 @@
 
 
 @dataclass(slots=True)
-class _Run:
-    """A request on a target; it is served while it has one of the slots."""
+class _TargetRequest:
+    """A request at a target; it is served only while it occupies a slot."""
 
     router_id: str
     attempt: Attempt
@@ -51,7 +52,11 @@
 
 @dataclass(slots=True)
 class Network:
-    """What the network does to messages."""
+    """Faults of the network between routers.
+
+    ``loss`` and ``doubling`` are the probabilities that a message is lost or delivered
+    twice; ``cut`` returns whether the link from a sender to a receiver is down.
+    """
 
     delay_seconds: float = 0.001
     jitter_seconds: float = 0.002
@@ -62,7 +67,7 @@
 
 @dataclass(slots=True)
 class Measurements:
-    """What is measured."""
+    """Totals of one simulation."""
 
     bytes_sent: int = 0
     messages_sent: int = 0
@@ -80,11 +85,11 @@
 
 
 class GapMeter:
-    """The widest service gap of each pair while both were backlogged throughout."""
+    """Measures the largest service gap of two customers that are both backlogged."""
 
     def __init__(self, shares: Mapping[str, float]) -> None:
         self._customers = sorted(shares)
-        self._shares = numpy.array([shares[one] for one in self._customers])
+        self._shares = numpy.array([shares[name] for name in self._customers])
         size = len(self._customers)
         self._low = numpy.full((size, size), numpy.inf)
         self._high = numpy.full((size, size), -numpy.inf)
@@ -93,26 +98,42 @@
         self.samples: list[float] = []
 
     def sample(self, served: Mapping[str, float], backlogged: set[str]) -> None:
-        """Take the true service so far and who waits now."""
-        normal = numpy.array([served.get(one, 0.0) for one in self._customers])
-        normal = normal / self._shares
-        here = numpy.array([one in backlogged for one in self._customers])
-        both = here[:, None] & here[None, :]
-        ahead = normal[:, None] - normal[None, :]
-        self._low = numpy.where(both, numpy.minimum(self._low, ahead), numpy.inf)
-        self._high = numpy.where(both, numpy.maximum(self._high, ahead), -numpy.inf)
+        """Record one sample.
+
+        Args:
+            served: True service of each customer so far, in cost units.
+            backlogged: Customers that have waiting requests now.
+        """
+        service = numpy.array([served.get(name, 0.0) for name in self._customers])
+        service = service / self._shares
+        is_backlogged = numpy.array([name in backlogged for name in self._customers])
+        both = is_backlogged[:, None] & is_backlogged[None, :]
+        lead = service[:, None] - service[None, :]
+        self._low = numpy.where(both, numpy.minimum(self._low, lead), numpy.inf)
+        self._high = numpy.where(both, numpy.maximum(self._high, lead), -numpy.inf)
         if both.any():
             ranges = numpy.where(both, self._high - self._low, 0.0)
             widest = float(ranges.max())
             self.samples.append(widest)
             if widest > self.widest:
                 self.widest = widest
-                place = numpy.unravel_index(ranges.argmax(), ranges.shape)
-                self.widest_pair = tuple(self._customers[one] for one in place)
+                indexes = numpy.unravel_index(ranges.argmax(), ranges.shape)
+                self.widest_pair = tuple(self._customers[index] for index in indexes)
 
 
 class VirtualFleet:
-    """Routers, targets and the network between the routers."""
+    """Simulates routers, targets and the network between the routers.
+
+    Args:
+        make_scheduler: Returns a scheduler for a router's id, incarnation, data centre
+            and random seed.
+        data_centres: The data centre of each router.
+        targets: All targets by id.
+        tree: Settings that are in force.
+        seed: Seed of the network's random faults.
+        network: Faults of the network; None for a network without loss.
+        units_per_second: Cost units that one slot serves per second.
+    """
 
     def __init__(
         self,
@@ -141,21 +162,21 @@
         self._make_scheduler = make_scheduler
         self._units_per_second = units_per_second
         self._costs: dict[str, float] = {}
-        self._runs: dict[str, list[_Run]] = {name: [] for name in targets}
+        self._runs: dict[str, list[_TargetRequest]] = {name: [] for name in targets}
         self._in_flight: list[tuple[float, int, str, str, int, Message]] = []
         self._numbers = count()
         self._sequences: dict[str, int] = {}
         self._observed_at = float("-inf")
         self._progressed_at = float("-inf")
         self._sampled_at = float("-inf")
-        self._heard: dict[tuple[str, str], float] = {}
+        self._last_seen_at_seconds: dict[tuple[str, str], float] = {}
         for router_id in data_centres:
             self.start_router(router_id)
 
     # --- events ------------------------------------------------------------------
 
     def start_router(self, router_id: str) -> None:
-        """Start a router, or restart it empty: its requests are lost."""
+        """Start a router, or restart it without state: its requests are lost."""
         incarnation = self.incarnations.get(router_id, 0) + 1
         self.incarnations[router_id] = incarnation
         for runs in self._runs.values():
@@ -171,7 +192,7 @@
         self._observed_at = float("-inf")
 
     def stop_router(self, router_id: str) -> None:
-        """Kill a router."""
+        """Stop a router without notice; its requests are lost."""
         del self.routers[router_id]
         self.waiting[router_id] = {}
         for runs in self._runs.values():
@@ -187,7 +208,11 @@
         patience_seconds: float = 1e6,
         body_bytes: int = 100,
     ) -> bool:
-        """Let a request enter; False if it was refused."""
+        """Submit a request to a router.
+
+        Returns:
+            False if the router is down or refuses the request.
+        """
         if router_id not in self.routers:
             return False
         number = next(self._numbers)
@@ -213,45 +238,45 @@
         self.waiting[router_id][request.request_id] = request
         return True
 
-    # --- the passing of time -------------------------------------------------------
+    # --- simulation of time -------------------------------------------------------
 
     def run(
         self, seconds: float, arrive: Callable[["VirtualFleet"], None] | None = None
     ) -> None:
-        """Let time pass."""
+        """Advance virtual time; ``arrive`` is called before each step."""
         for _ in range(round(seconds / STEP_SECONDS)):
             self.now_seconds += STEP_SECONDS
             if arrive is not None:
                 arrive(self)
-            self._step()
+            self._run_step()
 
-    def _step(self) -> None:
-        """Let one step pass: news, completions, decisions, messages, measures."""
+    def _run_step(self) -> None:
+        """Run one step: liveness, messages, service, decisions and measurements."""
         if self.now_seconds - self._observed_at >= _OBSERVE_SECONDS:
-            self._observe()
-        self._deliver()
-        self._serve()
+            self._observe_instances()
+        self._deliver_messages()
+        self._serve_requests()
         for router_id, scheduler in list(self.routers.items()):
-            began = process_time()
+            started_at = process_time()
             for request_id in scheduler.remove_expired(self.now_seconds):
                 self.waiting[router_id].pop(request_id)
                 self.measurements.expired += 1
             attempts = scheduler.decide(self.now_seconds)
             outgoing = scheduler.collect_outgoing(self.now_seconds)
-            self.measurements.decide_seconds += process_time() - began
+            self.measurements.decide_seconds += process_time() - started_at
             self.measurements.decisions += 1
             for attempt in attempts:
-                self._start(router_id, attempt)
-            self._send(router_id, outgoing)
-        self._measure()
+                self._start_attempt(router_id, attempt)
+            self._send_messages(router_id, outgoing)
+        self._record_measurements()
 
-    def _observe(self) -> None:
-        """Pass on who was heard; heartbeats are cut as other messages are."""
+    def _observe_instances(self) -> None:
+        """Report live instances to each router; cut links drop heartbeats too."""
         self._observed_at = self.now_seconds
         for receiver, scheduler in self.routers.items():
             for sender in self.routers:
                 if sender != receiver and not self.network.cut(sender, receiver):
-                    self._heard[(receiver, sender)] = self.now_seconds
+                    self._last_seen_at_seconds[(receiver, sender)] = self.now_seconds
             instances = {
                 sender: InstanceRow(
                     sender,
@@ -259,30 +284,31 @@
                     self.data_centres[sender],
                     InstanceState.READY,
                     1,
-                    self._heard[(receiver, sender)],
+                    self._last_seen_at_seconds[(receiver, sender)],
                 )
                 for sender in self.data_centres
-                if (receiver, sender) in self._heard
-                and self.now_seconds - self._heard[(receiver, sender)] < 5.0
+                if (receiver, sender) in self._last_seen_at_seconds
+                and self.now_seconds - self._last_seen_at_seconds[(receiver, sender)]
+                < 5.0
             }
             scheduler.observe_instances(instances, self.now_seconds)
 
-    def _deliver(self) -> None:
-        """Hand over the messages that arrive now."""
+    def _deliver_messages(self) -> None:
+        """Deliver the messages that are due."""
         while self._in_flight and self._in_flight[0][0] <= self.now_seconds:
             _, _, sender, receiver, incarnation, message = heappop(self._in_flight)
             if receiver in self.routers:
-                began = process_time()
+                started_at = process_time()
                 self.routers[receiver].handle_message(
                     sender, incarnation, message, self.now_seconds
                 )
-                self.measurements.decide_seconds += process_time() - began
+                self.measurements.decide_seconds += process_time() - started_at
 
-    def _send(self, sender: str, outgoing: object) -> None:
-        """Put messages on their way, joined by receiver, and count their bytes."""
+    def _send_messages(self, sender: str, outgoing: object) -> None:
+        """Send one envelope to each receiver and count its bytes."""
         by_receiver: dict[str, list[Message]] = {}
-        for one in outgoing:  # type: ignore[attr-defined]
-            by_receiver.setdefault(one.receiver_id, []).append(one.message)
+        for sent in outgoing:  # type: ignore[attr-defined]
+            by_receiver.setdefault(sent.receiver_id, []).append(sent.message)
         network = self.network
         for receiver, messages in by_receiver.items():
             incarnation = self.incarnations[sender]
@@ -306,44 +332,44 @@
                     row = (at, number, sender, receiver, incarnation, message)
                     heappush(self._in_flight, row)
 
-    def _start(self, router_id: str, attempt: Attempt) -> None:
-        """Start an attempt on its target, which admits it as it comes."""
+    def _start_attempt(self, router_id: str, attempt: Attempt) -> None:
+        """Add an attempt to its target's requests, in order of arrival."""
         request = self.waiting[router_id].pop(attempt.request_id)
         cost = self._costs.pop(attempt.request_id)
-        self._runs[attempt.target_id].append(_Run(router_id, attempt, cost))
+        self._runs[attempt.target_id].append(_TargetRequest(router_id, attempt, cost))
         self.measurements.started += 1
         self.measurements.start_delays_seconds.append(
             self.now_seconds - request.arrived_at_seconds
         )
 
-    def _serve(self) -> None:
-        """Let the first requests of each target, up to its slots, be served."""
-        tells = self.now_seconds - self._progressed_at >= _PROGRESS_SECONDS
-        if tells:
+    def _serve_requests(self) -> None:
+        """Serve the oldest requests of each target, one per slot."""
+        reports_progress = self.now_seconds - self._progressed_at >= _PROGRESS_SECONDS
+        if reports_progress:
             self._progressed_at = self.now_seconds
         unit = self._units_per_second * STEP_SECONDS
         for target_id, runs in self._runs.items():
-            done = []
+            finished = []
             for run in runs[: self.targets[target_id].capacity_slots]:
                 served = min(unit, run.cost_units - run.served_cost_units)
                 run.served_cost_units += served
                 customer = run.attempt.customer_id
                 self.served[customer] = self.served.get(customer, 0.0) + served
                 if run.served_cost_units >= run.cost_units - 1e-9:
-                    done.append(run)
-                elif tells:
+                    finished.append(run)
+                elif reports_progress:
                     usage = Usage(output_tokens=int(run.served_cost_units))
                     self.routers[run.router_id].record_progress(
                         run.attempt.attempt_id, usage, self.now_seconds
                     )
-            for run in done:
+            for run in finished:
                 runs.remove(run)
                 usage = Usage(output_tokens=round(run.cost_units))
                 self.routers[run.router_id].settle_attempt(
                     run.attempt.attempt_id, usage, Outcome.RAN, self.now_seconds
                 )
 
-    # --- measures --------------------------------------------------------------------
+    # --- measurements ----------------------------------------------------------------
 
     def backlogged(self) -> set[str]:
         """Return the customers with waiting requests."""
@@ -354,11 +380,11 @@
         }
 
     def running(self, target_id: str) -> int:
-        """Return how many requests are at a target."""
+        """Return the number of requests at a target, served or waiting for a slot."""
         return len(self._runs[target_id])
 
-    def _measure(self) -> None:
-        """Count use of capacity while work waits, and sample the gap."""
+    def _record_measurements(self) -> None:
+        """Record slot use while requests wait, and sample the service gap."""
         measurements = self.measurements
         slots = sum(target.capacity_slots for target in self.targets.values())
         busy = 0
@@ -386,7 +412,7 @@
             self.gaps.sample(self.served, self.backlogged())
 
     def utilisation_while_backlogged(self) -> float:
-        """Return the part of the slots in use while any request waited."""
+        """Return the fraction of slots in use while any request waited."""
         measurements = self.measurements
         if measurements.backlogged_slot_seconds == 0.0:
             return 1.0
@@ -398,12 +424,12 @@
     slots: int,
     serves: tuple[str, ...] = ("m",),
 ) -> dict[str, Target]:
-    """Return model engines, some in each data centre.
+    """Return model engines in each data centre.
 
     Args:
         engines_by_data_centre: Number of engines in each data centre.
-        slots: Requests that each runs at once.
-        serves: The models.
+        slots: Requests that each engine runs at once.
+        serves: Models that each engine serves.
 
     Returns:
         Targets by id.
