--- a/standins/virtual_shares.py
+++ b/standins/virtual_shares.py
@@ -212,10 +212,14 @@
 
         def begin(call: WaitingCall) -> None:
             self._queue.add(call.customer, router, call.tokens)
-            self.ledger.asked(call.customer, call.tokens, False, int(self.now_seconds))
+            self.ledger.record_request(
+                call.customer, call.tokens, False, int(self.now_seconds)
+            )
 
         def refuse(call: WaitingCall) -> None:
-            self.ledger.asked(call.customer, call.tokens, True, int(self.now_seconds))
+            self.ledger.record_request(
+                call.customer, call.tokens, True, int(self.now_seconds)
+            )
 
         loop = make_virtual_loop(
             self.routers[router],
@@ -241,7 +245,7 @@
     def _ask(
         self, name: str, router: int, route: str, tokens: int, room_seconds: float
     ) -> None:
-        self.ledger.largest(name, tokens)
+        self.ledger.record_request_size(name, tokens)
         if router in self.loops:
             at_seconds = self.now_seconds + self._draws.random() * REPORT_SECONDS
             is_kept = self._draws.random() < KEPT_PART
@@ -253,7 +257,7 @@
             return self._queue.wait_seconds < room_seconds
 
         is_in = self.routers[router].gate.admits(name, route, tokens, has_room)
-        self.ledger.asked(name, tokens, not is_in, int(self.now_seconds))
+        self.ledger.record_request(name, tokens, not is_in, int(self.now_seconds))
         if not is_in:
             return
         if self._draws.random() < self.failed_part:
@@ -272,7 +276,7 @@
     def _begin(self) -> None:
         for name, router, tokens in self._queue.pass_time(REPORT_SECONDS):
             self.routers[router].gate.record_start(name, tokens)
-            self.ledger.began(name, tokens, int(self.now_seconds))
+            self.ledger.record_start(name, tokens, int(self.now_seconds))
 
     def _beat(self) -> None:
         """Let everybody who beats now be heard, where links and processes allow it."""
--- a/tests/test_fair_shares_machine.py
+++ b/tests/test_fair_shares_machine.py
@@ -84,7 +84,10 @@
         if not hasattr(self, "fleet"):
             return
         begin = int(self.calm_since_seconds) + SETTLING_SECONDS
-        assert self.fleet.ledger.too_little(begin, int(self.fleet.now_seconds)) == []
+        assert (
+            self.fleet.ledger.find_unfair_shares(begin, int(self.fleet.now_seconds))
+            == []
+        )
 
 
 TestFairShares = FairShares.TestCase
--- a/tests/test_flooded_router.py
+++ b/tests/test_flooded_router.py
@@ -37,9 +37,9 @@
     return fleet
 
 
-def too_little(fleet):
+def find_unfair_shares(fleet):
     """Return who got less than the rule says while the flood lasted."""
-    return fleet.ledger.too_little(int(FLOOD_SECONDS) + 1, int(END_SECONDS))
+    return fleet.ledger.find_unfair_shares(int(FLOOD_SECONDS) + 1, int(END_SECONDS))
 
 
 @pytest.mark.parametrize("seed", range(2))
@@ -53,7 +53,7 @@
     """A flood by one router gets less than floods by all routers, or is left unread."""
     costs = CallCosts(refused_seconds, SERVED_SECONDS)
     fleet = play_flood(calls_per_second, costs, seed)
-    assert too_little(fleet) == []
+    assert find_unfair_shares(fleet) == []
     loop = fleet.loops[0]
     assert loop.not_connected == loop.left_unread == 0
     assert loop.longest_unread_seconds < 0.5 * UNREAD_SECONDS
@@ -76,4 +76,4 @@
 ):
     """A flood that its router can't refuse in time is served next to nothing."""
     costs = CallCosts(refused_seconds, SERVED_SECONDS)
-    assert too_little(play_flood(calls_per_second, costs, seed)) == []
+    assert find_unfair_shares(play_flood(calls_per_second, costs, seed)) == []
--- a/tests/test_shares_report.py
+++ b/tests/test_shares_report.py
@@ -1,11 +1,11 @@
-"""Who got too little, from the lines that instances write."""
+"""Unfair shares are found in the log lines of instances."""
 
 from msgspec.json import encode
 
-from tools.shares_report import by_second, read_lines, too_little
+from tools.shares_report import by_second, find_unfair_shares, read_lines
 
 
-def served(second, customers, replica="replica-1"):
+def served_entry(second, customers, replica="replica-1"):
     return {
         "at": f"2026-01-01T00:00:{second:02}.500+00:00",
         "message": "shares served",
@@ -16,10 +16,10 @@
     }
 
 
-def test_who_is_refused_for_six_seconds_and_gets_too_little_is_named(tmp_path):
-    """A customer complains a day later; only the logs are left.
+def test_report_names_a_customer_refused_for_six_seconds_with_an_unfair_share(tmp_path):
+    """After an incident the shares are known from the logs alone.
 
-    The lines may stand behind what a collector writes, and some are cut.
+    A log collector may put a prefix before each line, and lines may be truncated.
     """
     log = tmp_path / "r1.log"
     line = (
@@ -27,16 +27,20 @@
         "fair:0.50:10:100.0:0.0:45.0:0.0:45.0 "
         "high:1.00:10:90.0:90.0:0.0:0.0:90.0"
     )
-    entries = [served(second, line) for second in range(10, 16)]
+    entries = [served_entry(second, line) for second in range(10, 16)]
     start = {"at": "2026-01-01T00:00:08.000+00:00", "message": "started"}
     texts = [f" 1.5 r1 {encode(entry).decode()}\n" for entry in [start, *entries]]
     log.write_text("".join(texts) + '{"message": "shares served", "cu\n')
     seconds = by_second(read_lines([log]), after_seconds=2.0)
     assert sorted(seconds)[-6:] == list(range(6))
     assert seconds[0].routers_by_replica == {"replica-1": 1}
-    (found,) = too_little(seconds)
-    assert (found.second, found.customer) == (0, "low")
-    assert (found.asked_tokens, found.begun_tokens, found.best_tokens) == (
+    (unfair,) = find_unfair_shares(seconds)
+    assert (unfair.second, unfair.customer) == (0, "low")
+    assert (
+        unfair.requested_tokens,
+        unfair.started_tokens,
+        unfair.highest_started_tokens,
+    ) == (
         600.0,
         60.0,
         540.0,
--- a/tests/test_virtual_shares.py
+++ b/tests/test_virtual_shares.py
@@ -43,7 +43,9 @@
     demands = floods(60, one=flood((3,)), two=flood((5, 6)))
     fleet.play(END_SECONDS, demands, Random(seed))
     # The burst before anybody is limited is behind the engines by then.
-    assert fleet.ledger.too_little(int(FLOOD_SECONDS) + 1, int(END_SECONDS)) == []
+    assert (
+        fleet.ledger.find_unfair_shares(int(FLOOD_SECONDS) + 1, int(END_SECONDS)) == []
+    )
 
 
 @pytest.mark.parametrize("kind", ["silent", "lost"])
@@ -60,18 +62,18 @@
     fleet.play(4.0, demands, Random(1))
     getattr(fleet, kind).update((number, "a") for number in (3, 4, 5))
     fleet.play(END_SECONDS - 4.0, demands, Random(2))
-    assert fleet.ledger.too_little(4, int(END_SECONDS)) == []
+    assert fleet.ledger.find_unfair_shares(4, int(END_SECONDS)) == []
     # All who ask alike are served alike, not only half as well.
-    least = fleet.ledger.begun_tokens("wide-0", 8, int(END_SECONDS))
-    assert fleet.ledger.begun_tokens("one", 8, int(END_SECONDS)) < 1.5 * least
+    least = fleet.ledger.started_tokens("wide-0", 8, int(END_SECONDS))
+    assert fleet.ledger.started_tokens("one", 8, int(END_SECONDS)) < 1.5 * least
 
 
 def test_customers_who_ask_alike_get_alike_in_a_calm_fleet():
     fleet = make_virtual_shares(ROUTERS, REPLICAS, ENGINES_TOKENS)
     demands = floods(10, one=flood((3,)), two=flood((5, 6)))
     fleet.play(END_SECONDS, demands, Random(1))
-    assert fleet.ledger.too_little(4, int(END_SECONDS)) == []
-    got = [fleet.ledger.begun_tokens(name, 8, int(END_SECONDS)) for name in demands]
+    assert fleet.ledger.find_unfair_shares(4, int(END_SECONDS)) == []
+    got = [fleet.ledger.started_tokens(name, 8, int(END_SECONDS)) for name in demands]
     assert max(got) < 1.5 * min(got)
 
 
@@ -90,7 +92,7 @@
     fleet.silent.update((number, "a") for number in ALL)
     fleet.play(6.0, demands, Random(seed + 1))
     assert fleet.let_in_without_limit() == before
-    assert fleet.ledger.too_little(4, 12) == []
+    assert fleet.ledger.find_unfair_shares(4, 12) == []
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -136,8 +138,8 @@
     fleet.play(6.0, demands, Random(1))
     fleet.failed_part = 0.45
     fleet.play(8.0, demands, Random(2))
-    begun_tokens = sum(fleet.ledger.begun_tokens(name, 8, 14) for name in demands)
-    assert begun_tokens > 0.9 * 6 * ENGINES_TOKENS
+    started_tokens = sum(fleet.ledger.started_tokens(name, 8, 14) for name in demands)
+    assert started_tokens > 0.9 * 6 * ENGINES_TOKENS
     assert fleet.longest_wait(8.0) < 0.5
 
 
@@ -167,12 +169,12 @@
 
     def got(name):
         begin = int(RISES_SECONDS)
-        return fleet.ledger.begun_tokens(name, begin, begin + WINDOW_SECONDS)
+        return fleet.ledger.started_tokens(name, begin, begin + WINDOW_SECONDS)
 
     usual = sum(got(f"wide-{number}") for number in range(10)) / 10
     for name in names:
         assert got(name) < 1.3 * usual
-    assert fleet.ledger.too_little(int(RISES_SECONDS) - 2, 14) == []
+    assert fleet.ledger.find_unfair_shares(int(RISES_SECONDS) - 2, 14) == []
 
 
 def test_customers_get_alike_while_replicas_are_cut_from_each_other():
@@ -189,9 +191,9 @@
     fleet.play(10.0, demands, Random(2))
     fleet.cut = set()
     fleet.play(8.0, demands, Random(3))
-    assert fleet.ledger.too_little(4, 24) == []
+    assert fleet.ledger.find_unfair_shares(4, 24) == []
     for begin, end in ((8, 16), (17, 24)):
-        got = [fleet.ledger.begun_tokens(name, begin, end) for name in demands]
+        got = [fleet.ledger.started_tokens(name, begin, end) for name in demands]
         assert max(got) < 1.6 * min(got)
 
 
@@ -207,7 +209,7 @@
     fleet.frozen.clear()
     fleet.play(8.0, demands, Random(seed + 2))
     assert fleet.let_in_without_limit() == before
-    assert fleet.ledger.too_little(4, 22) == []
+    assert fleet.ledger.find_unfair_shares(4, 22) == []
 
 
 def test_replicas_of_data_centres_add_up_all_routers():
--- a/tools/shares_report.py
+++ b/tools/shares_report.py
@@ -1,9 +1,9 @@
-"""Who got what in each second, from the logs of all instances, and who got too little.
+"""Reports each customer's share per second from instances' logs, and unfair shares.
 
     python -m tools.shares_report LOG... [--customer NAME] [--after S] [--from S]
 
-Reads the lines ``shares served`` and ``shares limited``; what stands before the JSON
-object of a line is passed over. Seconds count from ``--after`` seconds after the first
+Reads the log lines ``shares served`` and ``shares limited``; text before the JSON
+object of a line is ignored. Seconds count from ``--after`` seconds after the first
 ``started`` line.
 """
 
@@ -18,41 +18,47 @@
 from msgspec import DecodeError
 from msgspec.json import decode
 
-from standins.share_ledger import TooLittle, make_share_ledger
+from standins.share_ledger import UnfairShare, make_share_ledger
 
 
 @dataclass(slots=True)
 class CustomerSecond:
-    """What one customer asked and got in one second, in thousands of tokens."""
+    """A customer's requested and served tokens in one second, in thousands."""
 
     requests: int = 0
-    asked: float = 0.0
-    open: float = 0.0
-    share: float = 0.0
-    room: float = 0.0
-    begun: float = 0.0
+    requested_tokens: float = 0.0
+    unlimited_tokens: float = 0.0
+    share_tokens: float = 0.0
+    spare_capacity_tokens: float = 0.0
+    started_tokens: float = 0.0
     fractions: list[float] = field(default_factory=list)
 
     @property
-    def refused(self) -> float:
-        """What was turned away."""
-        return max(self.asked - self.open - self.share - self.room, 0.0)
+    def refused_tokens(self) -> float:
+        """Return the tokens of refused requests."""
+        return max(
+            self.requested_tokens
+            - self.unlimited_tokens
+            - self.share_tokens
+            - self.spare_capacity_tokens,
+            0.0,
+        )
 
 
 @dataclass(slots=True)
 class Second:
-    """What all instances logged in one second."""
+    """The shares that all instances logged for one second."""
 
     customers: dict[str, CustomerSecond] = field(
         default_factory=lambda: defaultdict(CustomerSecond)
     )
     routers_by_replica: Counter[str] = field(default_factory=Counter)
-    oldest_seconds: float = 0.0
+    oldest_age_seconds: float = 0.0
     limits: list[str] = field(default_factory=list)
 
 
 def read_lines(paths: Iterable[Path]) -> Iterator[dict[str, str]]:
-    """Return the JSON objects at the ends of lines; others are passed over."""
+    """Return the JSON objects at the ends of log lines; skip other lines."""
     for path in paths:
         with path.open(encoding="utf-8", errors="replace") as file:
             for line in file:
@@ -62,18 +68,18 @@
                 try:
                     yield decode(line[begin:], type=dict[str, str])
                 except DecodeError:
-                    # A line that was cut, or of another writer, says nothing of shares.
+                    # Truncated lines and lines of other programs contain no shares.
                     continue
 
 
 def by_second(
     entries: Iterable[dict[str, str]], after_seconds: float
 ) -> dict[int, Second]:
-    """Return what was logged, by second.
+    """Return the logged shares by second.
 
     Args:
-        entries: Of all instances.
-        after_seconds: When the first second begins, after the first start.
+        entries: Log entries of all instances.
+        after_seconds: Delay from the first ``started`` line to second 0.
     """
     logged = [
         (datetime.fromisoformat(entry["at"]).timestamp(), entry)
@@ -99,31 +105,39 @@
 def _add_served(second: Second, entry: dict[str, str]) -> None:
     second.routers_by_replica[entry["replica"]] += 1
     age_seconds = float(entry["age_seconds"])
-    second.oldest_seconds = max(second.oldest_seconds, age_seconds)
+    second.oldest_age_seconds = max(second.oldest_age_seconds, age_seconds)
     for text in entry["customers"].split():
         name, fraction, requests, *figures = text.split(":")
         customer = second.customers[name]
         customer.fractions.append(float(fraction))
         customer.requests += int(requests)
-        asked, is_open, share, room, begun = map(float, figures)
-        customer.asked += asked
-        customer.open += is_open
-        customer.share += share
-        customer.room += room
-        customer.begun += begun
+        requested, unlimited, share, spare_capacity, started = map(float, figures)
+        customer.requested_tokens += requested
+        customer.unlimited_tokens += unlimited
+        customer.share_tokens += share
+        customer.spare_capacity_tokens += spare_capacity
+        customer.started_tokens += started
 
 
-def too_little(seconds: dict[int, Second]) -> list[TooLittle]:
-    """Return who was refused in each second of a window and got too little in it.
+def find_unfair_shares(seconds: dict[int, Second]) -> list[UnfairShare]:
+    """Return customers that were refused throughout a window and got an unfair share.
 
-    In thousands of tokens; the sizes of single requests are not known from the lines.
+    Figures are in thousands of tokens. The log lines do not contain the sizes of single
+    requests, so no allowance is subtracted for them.
     """
     ledger = make_share_ledger()
     for number, second in seconds.items():
-        for name, one in second.customers.items():
-            ledger.asked(name, one.asked, one.refused > 0.0, number)
-            ledger.began(name, one.begun, number)
-    return ledger.too_little(min(seconds, default=0), max(seconds, default=0) + 1)
+        for name, customer in second.customers.items():
+            ledger.record_request(
+                name,
+                customer.requested_tokens,
+                customer.refused_tokens > 0.0,
+                number,
+            )
+            ledger.record_start(name, customer.started_tokens, number)
+    return ledger.find_unfair_shares(
+        min(seconds, default=0), max(seconds, default=0) + 1
+    )
 
 
 def _print_second(number: int, second: Second, only: str | None) -> None:
@@ -131,24 +145,31 @@
         f"{name or 'nobody'} {count}"
         for name, count in second.routers_by_replica.items()
     )
-    print(f"{number:4} s  followed: {replicas}; oldest {second.oldest_seconds:.2f} s")
+    print(
+        f"{number:4} s  followed: {replicas}; oldest {second.oldest_age_seconds:.2f} s"
+    )
     for limit in second.limits:
         print(f"        {limit}")
-    customers = sorted(second.customers.items(), key=lambda one: -one[1].asked)
-    for name, one in customers:
+    customers = sorted(
+        second.customers.items(), key=lambda item: -item[1].requested_tokens
+    )
+    for name, customer in customers:
         if only is not None and name != only:
             continue
-        fractions = sorted(one.fractions)
+        fractions = sorted(customer.fractions)
         print(
-            f"        {name:12} {one.requests:5} requests, asked {one.asked:8.1f}, "
-            f"open {one.open:7.1f}, share {one.share:7.1f}, room {one.room:7.1f}, "
-            f"begun {one.begun:7.1f}; fraction {fractions[0]:.2f} to "
+            f"        {name:12} {customer.requests:5} requests, "
+            f"asked {customer.requested_tokens:8.1f}, "
+            f"open {customer.unlimited_tokens:7.1f}, "
+            f"share {customer.share_tokens:7.1f}, "
+            f"room {customer.spare_capacity_tokens:7.1f}, "
+            f"begun {customer.started_tokens:7.1f}; fraction {fractions[0]:.2f} to "
             f"{fractions[-1]:.2f} at {len(fractions)}"
         )
 
 
 def main() -> None:
-    """Print what the logs say."""
+    """Print the shares of each second and the unfair shares."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("logs", nargs="+", type=Path)
     parser.add_argument("--customer", help="only this one")
@@ -160,11 +181,11 @@
     for number in sorted(seconds):
         if args.begin <= number <= args.end:
             _print_second(number, seconds[number], args.customer)
-    for one in too_little(seconds):
+    for unfair in find_unfair_shares(seconds):
         print(
-            f"too little: {one.customer} from {one.second} s: asked "
-            f"{one.asked_tokens:.0f}, begun {one.begun_tokens:.0f}, best "
-            f"{one.best_tokens:.0f} (thousands of tokens)"
+            f"too little: {unfair.customer} from {unfair.second} s: asked "
+            f"{unfair.requested_tokens:.0f}, begun {unfair.started_tokens:.0f}, best "
+            f"{unfair.highest_started_tokens:.0f} (thousands of tokens)"
         )
 
 
