--- a/standins/virtual_loop.py
+++ b/standins/virtual_loop.py
@@ -1,8 +1,8 @@
-"""The loop of one router in virtual time: each call costs it processor time.
+"""Simulates a router's event loop in virtual time; each call costs processor time.
 
-What a router decides is the product's own ``decide``. Callers wait in the listener's
-backlog until the loop takes them, leave when nobody reads them, and the router's other
-work (its reports, what it is sent) waits behind them.
+The product's ``decide`` decides on each call. Callers wait in the listener's backlog
+until the loop accepts them, and give up if their call isn't read in time. The router's
+other work, its reports and the messages that it receives, waits behind the calls.
 """
 
 from collections import deque
@@ -25,15 +25,15 @@
 from sesameford.listener import MAX_ACCEPTS_PER_TURN
 from sesameford.settings import RetryBudgetSettings
 
-# Callers whose connection is not read for so long give up.
+# Callers give up if their call is not read for this long.
 UNREAD_SECONDS = 1.0
 # Connections that callers keep open; each carries one call at a time.
-KEPT_CONNECTIONS = 256
+KEEP_ALIVE_CONNECTIONS = 256
 
 
 @dataclass(frozen=True, slots=True)
 class CallCosts:
-    """What a call costs a router in processor time, by what becomes of it."""
+    """Processor time that a refused or a served call costs a router."""
 
     refused_seconds: float
     served_seconds: float
@@ -41,24 +41,28 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitingCall:
-    """A call that nobody has read; on a kept connection it need not be accepted."""
+    """A call not read yet; if ``is_connected``, its connection is already accepted."""
 
     at_seconds: float
     customer: str
     host: str
     path: str
     tokens: int
-    is_kept: bool = False
+    is_connected: bool = False
 
 
 @dataclass(slots=True)
 class VirtualLoop:
-    """One router's loop and what callers in front of it meet, in calls."""
+    """The event loop of one router and the calls that wait for it.
+
+    ``not_connected`` counts calls that found the backlog full, ``left_unread`` calls
+    whose caller gave up before they were read.
+    """
 
     load: LoadSystem
     costs: CallCosts
     deps: GatewayDeps
-    begin: Callable[[WaitingCall], None]
+    admit: Callable[[WaitingCall], None]
     refuse: Callable[[WaitingCall], None]
     clock_seconds: float = 0.0
     backlog: deque[WaitingCall] = field(default_factory=deque)
@@ -70,8 +74,8 @@
     _inbox: list[Callable[[float], None]] = field(default_factory=list)
 
     def arrive(self, call: WaitingCall) -> None:
-        """Let a caller send, or connect where the backlog has room."""
-        if call.is_kept and len(self.readable) < KEPT_CONNECTIONS:
+        """Queue a call on an open connection, or in the backlog unless it is full."""
+        if call.is_connected and len(self.readable) < KEEP_ALIVE_CONNECTIONS:
             self.readable.append(call)
         elif len(self.backlog) < BACKLOG_CONNECTIONS:
             self.backlog.append(call)
@@ -79,24 +83,24 @@
             self.not_connected += 1
             self.refuse(call)
 
-    def receive(self, take: Callable[[float], None]) -> None:
-        """Keep a message until the loop turns."""
-        self._inbox.append(take)
+    def receive(self, handle: Callable[[float], None]) -> None:
+        """Queue a message's handler for the next turn of the loop."""
+        self._inbox.append(handle)
 
     def run(self, until_seconds: float) -> None:
-        """Let the loop turn until a time; its last turn may end after it."""
+        """Run the loop until a time; its last turn may end later."""
         while self.clock_seconds < until_seconds:
             self._run_timers()
-            calls = self._accepted()
+            calls = self._pop_readable_calls()
             if not calls:
                 self._sleep(until_seconds)
             for call in calls:
-                self._serve(call)
+                self._handle_call(call)
 
     def _run_timers(self) -> None:
         inbox, self._inbox = self._inbox, []
-        for take in inbox:
-            take(self.clock_seconds)
+        for handle in inbox:
+            handle(self.clock_seconds)
         if self.clock_seconds >= self._due_at_seconds:
             self.load.tick(self.clock_seconds)
             self._due_at_seconds = self.clock_seconds + REPORT_SECONDS
@@ -108,24 +112,24 @@
                 next_seconds = min(next_seconds, waiting[0].at_seconds)
         self.clock_seconds = max(next_seconds, self.clock_seconds)
 
-    def _accepted(self) -> list[WaitingCall]:
-        """Return the calls that are taken in one turn."""
-        accepted = self._come(self.backlog)[:MAX_ACCEPTS_PER_TURN]
-        read = self._come(self.readable)
+    def _pop_readable_calls(self) -> list[WaitingCall]:
+        """Remove and return the calls that are read in one turn."""
+        accepted = self._arrived_calls(self.backlog)[:MAX_ACCEPTS_PER_TURN]
+        read = self._arrived_calls(self.readable)
         for _ in accepted:
             self.backlog.popleft()
         for _ in read:
             self.readable.popleft()
         return accepted + read
 
-    def _come(self, waiting: Iterable[WaitingCall]) -> list[WaitingCall]:
-        """Return those that have come by now."""
+    def _arrived_calls(self, waiting: Iterable[WaitingCall]) -> list[WaitingCall]:
+        """Return the waiting calls that have arrived by now."""
         return list(
             takewhile(lambda call: call.at_seconds <= self.clock_seconds, waiting)
         )
 
-    def _serve(self, call: WaitingCall) -> None:
-        """Decide on a call; one whose caller has left costs as much as a refusal."""
+    def _handle_call(self, call: WaitingCall) -> None:
+        """Decide on a call; if its caller gave up, it costs as much as a refusal."""
         unread_seconds = self.clock_seconds - call.at_seconds
         if unread_seconds > UNREAD_SECONDS:
             self.left_unread += 1
@@ -135,18 +139,18 @@
         self.longest_unread_seconds = max(self.longest_unread_seconds, unread_seconds)
         if self._is_admitted(call):
             self.clock_seconds += self.costs.served_seconds
-            self.begin(call)
+            self.admit(call)
         else:
             self.clock_seconds += self.costs.refused_seconds
             self.refuse(call)
 
     def _is_admitted(self, call: WaitingCall) -> bool:
         prompt = Prompt("m", call.tokens, 0)
-        asked = Call(
+        gateway_call = Call(
             "id", "POST", call.host, call.path, (), call.customer, None, prompt
         )
         try:
-            decide(self.deps, asked, self.clock_seconds)
+            decide(self.deps, gateway_call, self.clock_seconds)
         except Refusal:
             return False
         return True
@@ -157,26 +161,26 @@
     costs: CallCosts,
     state: GatewayState,
     placement: Placement,
-    begin: Callable[[WaitingCall], None],
+    admit: Callable[[WaitingCall], None],
     refuse: Callable[[WaitingCall], None],
 ) -> VirtualLoop:
-    """Return a loop that has not turned yet.
+    """Return a loop that has not run yet.
 
     Args:
-        load: The router's loads and shares.
-        costs: What calls cost it.
-        state: What is in force.
-        placement: In place of the router's own, asked for room alone.
-        begin: Called with each call that is let in.
-        refuse: Called with each call that is not.
+        load: The router's load system.
+        costs: Processor time of each call.
+        state: Settings that are in force.
+        placement: Replaces the router's placement; only its spare capacity is read.
+        admit: Called with each admitted call.
+        refuse: Called with each refused call.
     """
 
     def now() -> float:
         return loop.clock_seconds
 
-    nobody = cast(WireAdapter, None), cast(Sender, None)
+    unused = cast(WireAdapter, None), cast(Sender, None)
     deps = GatewayDeps(
-        *nobody,
+        *unused,
         placement,
         load.gate,
         make_second_sends(RetryBudgetSettings()),
@@ -191,5 +195,5 @@
         now,
         now,
     )
-    loop = VirtualLoop(load, costs, deps, begin, refuse)
+    loop = VirtualLoop(load, costs, deps, admit, refuse)
     return loop
--- a/standins/virtual_shares.py
+++ b/standins/virtual_shares.py
@@ -1,7 +1,7 @@
-"""Routers' admission, replicas that add up and engines as one queue, in virtual time.
+"""Simulates admission at routers, aggregation at replicas and engines in virtual time.
 
-Routers and replicas run the product's own load system. Engines are one queue in order
-of admission, so that who is served is decided by shares alone and not by placement.
+Routers and replicas run the product's load system. All engines are one queue in order
+of admission, so that shares alone decide which customer is served, not placement.
 """
 
 from collections import defaultdict
@@ -49,19 +49,19 @@
   backends: [{{service: pool, weight: 1}}]
   children: {{long: {{path_prefix: /l/, is_stream: true}}}}
 """
-BEAT_SECONDS = 0.5
-# The part of calls that come on a connection which is open already.
-KEPT_PART = 0.5
-# Routers start one after the other, so that they don't tell their loads all at once.
-STARTS_WITHIN_SECONDS = 0.4
+HEARTBEAT_SECONDS = 0.5
+# Fraction of calls that arrive on a connection that is already open.
+REUSED_CONNECTION_FRACTION = 0.5
+# Routers start one after the other, so that they don't all report at the same time.
+START_SPREAD_SECONDS = 0.4
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What a customer asks; ``routers`` are the ones that its callers reach.
+    """The demand of one customer, which its callers send to ``routers``.
 
-    ``spread`` is how far its demand swings to either side, as a part of it, with
-    ``period_seconds``: a square wave.
+    It is a square wave of ``period_seconds`` around ``tokens_per_second``, with
+    ``spread`` as its amplitude, a fraction of the mean. It starts at ``from_seconds``.
     """
 
     tokens_per_second: float
@@ -72,7 +72,7 @@
     from_seconds: float = 0.0
 
     def rate(self, now_seconds: float) -> float:
-        """Return what is asked a second at a time."""
+        """Return the demand at a time, in tokens per second."""
         if now_seconds < self.from_seconds:
             return 0.0
         is_up = (now_seconds / self.period_seconds) % 1.0 < 0.5
@@ -80,13 +80,14 @@
 
 
 class VirtualShares:
-    """Routers, replicas and engines; ``lost`` are links on which answers are lost.
-
-    ``silent`` are links on which nothing is heard at all, heartbeats included; a link
-    is a router's number and a replica's name. Replicas that are ``frozen`` stand still,
-    and what is sent to them waits; those that are ``deaf`` hear no other replica, and
-    ``cut`` has pairs of replicas of which the second does not hear the first. Engines
-    fail ``failed_part`` of what is let in, at once.
+    """Simulates routers, replicas and engines, with faults of links and processes.
+
+    A link is a router's number and a replica's name. On ``silent`` links no message is
+    delivered, heartbeats included; on ``lost`` links only the replica's answers are
+    lost. ``frozen`` replicas are suspended, and messages to them wait. ``isolated``
+    replicas receive nothing from other replicas. ``cut`` has pairs of replicas of which
+    the second receives nothing from the first. Engines fail ``failed_fraction`` of the
+    admitted requests at once.
     """
 
     def __init__(
@@ -102,18 +103,19 @@
         self.lost: set[tuple[int, str]] = set()
         self.silent: set[tuple[int, str]] = set()
         self.frozen: set[str] = set()
-        self.deaf: set[str] = set()
+        self.isolated: set[str] = set()
         self.now_seconds = 0.0
-        self.exchanged = 0
-        self.failed_part = 0.0
-        self._draws = Random("failures")
+        self.partial_loads_sent = 0
+        self.failed_fraction = 0.0
+        self._random = Random("failures")
         self.cut: set[tuple[str, str]] = set()
         self._data_centres = data_centres
         self._queue = EngineQueue(tokens_per_second)
         self._replica_ids = tuple(replicas)
         self._numbers = {f"r{number}": number for number in range(routers)}
         keys = ", ".join(
-            f"{one}: {{key_digests: [{digest_of_key(one)}]}}" for one in customers
+            f"{customer}: {{key_digests: [{digest_of_key(customer)}]}}"
+            for customer in customers
         )
         text = TREE.format(tokens=declared_tokens, customers=f"{{{keys}}}")
         state = make_gateway_state(effective_tree(parse_tree(text, "t"), 1))
@@ -121,18 +123,22 @@
         self.loops: dict[int, VirtualLoop] = {}
         self._sent: list[tuple[str, Outgoing]] = []
         self.routers = [
-            self._make(f"r{number}", False, state) for number in range(routers)
+            self._make_load_system(f"r{number}", False, state)
+            for number in range(routers)
         ]
         self.replicas = {
-            name: self._make(name, True, state) for name in self._replica_ids
+            name: self._make_load_system(name, True, state)
+            for name in self._replica_ids
         }
         self._arriving: list[tuple[float, int, WaitingCall]] = []
-        self._waits: list[tuple[float, float]] = []
+        self._queue_waits: list[tuple[float, float]] = []
         self._last_seen_at_seconds: dict[tuple[str, str], float] = {}
-        self._waiting: dict[str, list[tuple[str, Message]]] = defaultdict(list)
+        self._replica_inboxes: dict[str, list[tuple[str, Message]]] = defaultdict(list)
         self._due_tokens: dict[str, float] = defaultdict(float)
 
-    def _make(self, name: str, has_disk: bool, state: GatewayState) -> LoadSystem:
+    def _make_load_system(
+        self, name: str, has_disk: bool, state: GatewayState
+    ) -> LoadSystem:
         def is_live(other: str, now_seconds: float, within_seconds: float) -> bool:
             last_seen_at_seconds = self._last_seen_at_seconds.get(
                 (other, name), float("-inf")
@@ -141,21 +147,21 @@
 
         def live_replicas(now_seconds: float, within_seconds: float) -> Collection[str]:
             return [
-                one
-                for one in self._replica_ids
-                if is_live(one, now_seconds, within_seconds)
+                replica
+                for replica in self._replica_ids
+                if is_live(replica, now_seconds, within_seconds)
             ]
 
         def near_replicas(now_seconds: float, within_seconds: float) -> Collection[str]:
             return [
-                one
-                for one in live_replicas(now_seconds, within_seconds)
-                if self._data_centre(one) == self._data_centre(name)
+                replica
+                for replica in live_replicas(now_seconds, within_seconds)
+                if self._data_centre(replica) == self._data_centre(name)
             ]
 
         def live_routers(now_seconds: float, within_seconds: float) -> int:
             return sum(
-                is_live(one, now_seconds, within_seconds) for one in self._numbers
+                is_live(router, now_seconds, within_seconds) for router in self._numbers
             )
 
         return make_load_system(
@@ -172,15 +178,16 @@
         seconds: float,
         demands: Mapping[str, Demand],
         random: Random,
-        room_seconds: float = 0.0,
+        spare_capacity_wait_seconds: float = 0.0,
     ) -> None:
-        """Let time pass.
+        """Advance virtual time.
 
         Args:
-            seconds: How long.
-            demands: By customer.
-            random: Spreads each customer's requests over routes and its routers.
-            room_seconds: Who is over its share is served where prompts wait less.
+            seconds: Time to simulate.
+            demands: Demand of each customer.
+            random: Distributes each customer's requests over routes and its routers.
+            spare_capacity_wait_seconds: Requests above a customer's share are admitted
+                while prompts wait less than this for an engine.
         """
         end_seconds = self.now_seconds + seconds
         routers = {
@@ -195,22 +202,29 @@
                     self._due_tokens[name] -= demand.size_tokens
                     router = next(routers[name])
                     route = random.choice(ROUTES)
-                    self._ask(name, router, route, demand.size_tokens, room_seconds)
+                    self._submit_request(
+                        name,
+                        router,
+                        route,
+                        demand.size_tokens,
+                        spare_capacity_wait_seconds,
+                    )
             self._run_loops()
-            self._begin()
-            self._waits.append((self.now_seconds, self._queue.wait_seconds))
+            self._start_requests()
+            self._queue_waits.append((self.now_seconds, self._queue.wait_seconds))
             self._tick()
             self.now_seconds += REPORT_SECONDS
 
-    def charge(self, router: int, costs: CallCosts) -> None:
-        """Let calls cost a router processor time, from now on.
+    def set_call_costs(self, router: int, costs: CallCosts) -> None:
+        """Set the processor time that calls cost a router from now on.
 
         Args:
-            router: Its number. Its customers are those that the fleet was made with.
-            costs: What calls cost it.
+            router: The router's number. It accepts calls of the customers that were
+                passed to `make_virtual_shares`.
+            costs: Processor time of each call.
         """
 
-        def begin(call: WaitingCall) -> None:
+        def admit(call: WaitingCall) -> None:
             self._queue.add(call.customer, router, call.tokens)
             self.ledger.record_request(
                 call.customer, call.tokens, False, int(self.now_seconds)
@@ -226,132 +240,151 @@
             costs,
             self._state,
             cast(Placement, QueuePlacement(self._queue)),
-            begin,
+            admit,
             refuse,
         )
         loop.clock_seconds = self.now_seconds
         self.loops[router] = loop
 
-    def let_in_without_limit(self) -> int:
-        """Return the tokens that routers let in because nobody limited them."""
+    def tokens_admitted_without_limit(self) -> int:
+        """Return the tokens that routers admitted while no limit was in force."""
         return sum(
             router.gate.account.totals[Admission.NOT_LIMITED] for router in self.routers
         )
 
     def longest_wait(self, from_seconds: float) -> float:
-        """Return how long a prompt waited at most for engines since a time, seconds."""
-        return max(wait for at, wait in self._waits if at >= from_seconds)
+        """Return the longest wait for engines since a time, in seconds."""
+        return max(
+            wait for at_seconds, wait in self._queue_waits if at_seconds >= from_seconds
+        )
 
-    def _ask(
-        self, name: str, router: int, route: str, tokens: int, room_seconds: float
+    def _submit_request(
+        self,
+        name: str,
+        router: int,
+        route: str,
+        tokens: int,
+        spare_capacity_wait_seconds: float,
     ) -> None:
         self.ledger.record_request_size(name, tokens)
         if router in self.loops:
-            at_seconds = self.now_seconds + self._draws.random() * REPORT_SECONDS
-            is_kept = self._draws.random() < KEPT_PART
-            call = WaitingCall(at_seconds, name, HOST, PATH, tokens, is_kept)
+            at_seconds = self.now_seconds + self._random.random() * REPORT_SECONDS
+            is_connected = self._random.random() < REUSED_CONNECTION_FRACTION
+            call = WaitingCall(at_seconds, name, HOST, PATH, tokens, is_connected)
             self._arriving.append((at_seconds, router, call))
             return
 
-        def has_room() -> bool:
-            return self._queue.wait_seconds < room_seconds
+        def has_spare_capacity() -> bool:
+            return self._queue.wait_seconds < spare_capacity_wait_seconds
 
-        is_in = self.routers[router].gate.admits(name, route, tokens, has_room)
-        self.ledger.record_request(name, tokens, not is_in, int(self.now_seconds))
-        if not is_in:
+        is_admitted = self.routers[router].gate.admits(
+            name, route, tokens, has_spare_capacity
+        )
+        self.ledger.record_request(name, tokens, not is_admitted, int(self.now_seconds))
+        if not is_admitted:
             return
-        if self._draws.random() < self.failed_part:
+        if self._random.random() < self.failed_fraction:
             self.routers[router].gate.record_failure(tokens)
         else:
             self._queue.add(name, router, tokens)
 
     def _run_loops(self) -> None:
-        """Let the charged routers work until the next step."""
-        arriving, self._arriving = sorted(self._arriving, key=lambda one: one[0]), []
+        """Run the loops of routers with call costs until the next step."""
+        arriving, self._arriving = (
+            sorted(self._arriving, key=lambda arrival: arrival[0]),
+            [],
+        )
         for _, router, call in arriving:
             self.loops[router].arrive(call)
         for loop in self.loops.values():
             loop.run(self.now_seconds + REPORT_SECONDS)
 
-    def _begin(self) -> None:
+    def _start_requests(self) -> None:
         for name, router, tokens in self._queue.pass_time(REPORT_SECONDS):
             self.routers[router].gate.record_start(name, tokens)
             self.ledger.record_start(name, tokens, int(self.now_seconds))
 
-    def _beat(self) -> None:
-        """Let everybody who beats now be heard, where links and processes allow it."""
-        everybody = [*self._numbers, *self._replica_ids]
-        for position, sender in enumerate(everybody):
-            phase_seconds = BEAT_SECONDS * position / len(everybody)
-            before = (self.now_seconds - REPORT_SECONDS - phase_seconds) // BEAT_SECONDS
-            if (self.now_seconds - phase_seconds) // BEAT_SECONDS == before:
+    def _exchange_heartbeats(self) -> None:
+        """Deliver the heartbeats that are due where links and processes allow it."""
+        instances = [*self._numbers, *self._replica_ids]
+        for position, sender in enumerate(instances):
+            phase_seconds = HEARTBEAT_SECONDS * position / len(instances)
+            previous_period = (
+                self.now_seconds - REPORT_SECONDS - phase_seconds
+            ) // HEARTBEAT_SECONDS
+            if (
+                self.now_seconds - phase_seconds
+            ) // HEARTBEAT_SECONDS == previous_period:
                 continue
-            for receiver in everybody:
-                if sender != receiver and self._passes(sender, receiver):
+            for receiver in instances:
+                if sender != receiver and self._is_delivered(sender, receiver):
                     self._last_seen_at_seconds[sender, receiver] = self.now_seconds
 
-    def _passes(self, sender: str, receiver: str) -> bool:
-        """Return whether a heartbeat comes through."""
+    def _is_delivered(self, sender: str, receiver: str) -> bool:
+        """Return whether a heartbeat is delivered."""
         if sender in self.frozen or receiver in self.frozen:
             return False
-        if receiver in self.deaf and sender in self._replica_ids:
+        if receiver in self.isolated and sender in self._replica_ids:
             return False
         if (sender, receiver) in self.cut:
             return False
-        for one, other in ((sender, receiver), (receiver, sender)):
-            if one in self._numbers and (self._numbers[one], other) in self.silent:
+        for router, replica in ((sender, receiver), (receiver, sender)):
+            if (
+                router in self._numbers
+                and (self._numbers[router], replica) in self.silent
+            ):
                 return False
         return True
 
     def _tick(self) -> None:
-        """Run all load systems; what they send comes within the same step."""
-        self._beat()
-        started = int(self.now_seconds / STARTS_WITHIN_SECONDS * len(self.routers))
+        """Run all load systems; their messages arrive within the same step."""
+        self._exchange_heartbeats()
+        started = int(self.now_seconds / START_SPREAD_SECONDS * len(self.routers))
         for number, router in enumerate(self.routers[:started]):
             if number not in self.loops:
                 router.tick(self.now_seconds)
-        self._deliver()
+        self._deliver_messages()
         for name, replica in self.replicas.items():
             if name not in self.frozen:
-                self._catch_up(name)
+                self._process_messages(name)
                 replica.tick(self.now_seconds)
-        self._deliver()
+        self._deliver_messages()
 
     def _data_centre(self, name: str) -> int:
-        """Return where an instance is; each data centre has a replica."""
+        """Return the data centre of an instance; each data centre has a replica."""
         if name in self._replica_ids:
             return self._replica_ids.index(name) % self._data_centres
         return self._numbers[name] % self._data_centres
 
-    def _deliver(self) -> None:
+    def _deliver_messages(self) -> None:
         sent, self._sent = self._sent, []
         for sender, outgoing in sent:
             receiver, message = str(outgoing.receiver_id), outgoing.message
             if isinstance(message, RouterLoad | RouterLoadHandover):
                 if (self._numbers[sender], receiver) not in self.silent:
-                    self._waiting[receiver].append((sender, message))
+                    self._replica_inboxes[receiver].append((sender, message))
             elif isinstance(message, PartialLoad):
-                self.exchanged += 1
-                if receiver in self.deaf or (sender, receiver) in self.cut:
+                self.partial_loads_sent += 1
+                if receiver in self.isolated or (sender, receiver) in self.cut:
                     continue
-                self._waiting[receiver].append((sender, message))
+                self._replica_inboxes[receiver].append((sender, message))
             elif isinstance(message, FleetLoad):
                 number = self._numbers[receiver]
                 if (number, sender) not in self.lost | self.silent:
-                    self._hear(number, sender, message)
+                    self._deliver_fleet_load(number, sender, message)
 
-    def _hear(self, number: int, sender: str, fleet: FleetLoad) -> None:
-        """Let a router hear the sums of a replica, a charged one when it turns."""
+    def _deliver_fleet_load(self, number: int, sender: str, fleet: FleetLoad) -> None:
+        """Pass a replica's sums to a router; one with call costs queues them."""
         router = self.routers[number]
         if number in self.loops:
             self.loops[number].receive(partial(router.heard, sender, fleet))
         else:
             router.heard(sender, fleet, self.now_seconds)
 
-    def _catch_up(self, replica_id: str) -> None:
-        """Let a replica read what has come."""
+    def _process_messages(self, replica_id: str) -> None:
+        """Process the messages that wait for a replica."""
         replica = self.replicas[replica_id]
-        for sender, message in self._waiting.pop(replica_id, []):
+        for sender, message in self._replica_inboxes.pop(replica_id, []):
             if isinstance(message, RouterLoad):
                 replica.received(sender, message, self.now_seconds)
             elif isinstance(message, RouterLoadHandover):
@@ -368,15 +401,16 @@
     data_centres: int = 1,
     customers: Sequence[str] = (),
 ) -> VirtualShares:
-    """Return a fleet that has not been asked for anything.
+    """Return a fleet without load.
 
     Args:
-        routers: How many.
-        replicas: Their names; the first in order adds up while all hear it.
-        tokens_per_second: What engines read.
-        declared_tokens: What they are declared to read, None if it is the same.
-        data_centres: Over how many routers and replicas are spread.
-        customers: Those that ask by routers whose calls cost processor time.
+        routers: Number of routers.
+        replicas: Names of replicas; the first in order is the aggregator while all
+            routers receive its heartbeats.
+        tokens_per_second: Prompt tokens that all engines read per second.
+        declared_tokens: Tokens per second declared in the settings; None for the same.
+        data_centres: Number of data centres of routers and replicas.
+        customers: Customers of the routers whose calls cost processor time.
     """
     declared_tokens = declared_tokens or tokens_per_second
     return VirtualShares(
--- a/tests/test_flooded_router.py
+++ b/tests/test_flooded_router.py
@@ -32,7 +32,7 @@
     fleet = make_virtual_shares(
         ROUTERS, REPLICAS, ENGINES_TOKENS, data_centres=3, customers=("one",)
     )
-    fleet.charge(0, costs)
+    fleet.set_call_costs(0, costs)
     fleet.play(END_SECONDS, demands, Random(seed))
     return fleet
 
--- a/tests/test_virtual_shares.py
+++ b/tests/test_virtual_shares.py
@@ -88,10 +88,10 @@
     fleet = make_virtual_shares(ROUTERS, REPLICAS, ENGINES_TOKENS)
     demands = floods(20, one=flood((3,)))
     fleet.play(6.0, demands, Random(seed))
-    before = fleet.let_in_without_limit()
+    before = fleet.tokens_admitted_without_limit()
     fleet.silent.update((number, "a") for number in ALL)
     fleet.play(6.0, demands, Random(seed + 1))
-    assert fleet.let_in_without_limit() == before
+    assert fleet.tokens_admitted_without_limit() == before
     assert fleet.ledger.find_unfair_shares(4, 12) == []
 
 
@@ -109,17 +109,17 @@
     fleet.frozen.add("a")
     demands = floods(60, one=flood((3,)))
     fleet.play(8.0, demands, Random(seed + 1))
-    before = fleet.let_in_without_limit()
+    before = fleet.tokens_admitted_without_limit()
     calm_seconds = fleet.longest_wait(6.0)
     fleet.frozen.clear()
     fleet.silent.update((number, "a") for number in ALL)
-    fleet.deaf.add("a")
+    fleet.isolated.add("a")
     for number in Random(seed).sample(ALL, ROUTERS):
         fleet.silent.discard((number, "a"))
         fleet.play(DIALLED_SECONDS, demands, Random(seed + 2))
-    fleet.deaf.clear()
+    fleet.isolated.clear()
     fleet.play(3.0, demands, Random(seed + 3))
-    assert fleet.let_in_without_limit() == before
+    assert fleet.tokens_admitted_without_limit() == before
     # Nobody waits much longer than in the flood before.
     assert fleet.longest_wait(10.0) < calm_seconds + 0.1
 
@@ -136,7 +136,7 @@
     )
     demands = floods(20)
     fleet.play(6.0, demands, Random(1))
-    fleet.failed_part = 0.45
+    fleet.failed_fraction = 0.45
     fleet.play(8.0, demands, Random(2))
     started_tokens = sum(fleet.ledger.started_tokens(name, 8, 14) for name in demands)
     assert started_tokens > 0.9 * 6 * ENGINES_TOKENS
@@ -203,12 +203,12 @@
     fleet = make_virtual_shares(ROUTERS, REPLICAS, ENGINES_TOKENS, data_centres=3)
     demands = floods(10, one=flood((4,)), two=flood((1, 7)))
     fleet.play(6.0, demands, Random(seed))
-    before = fleet.let_in_without_limit()
+    before = fleet.tokens_admitted_without_limit()
     fleet.frozen.add("b")
     fleet.play(8.0, demands, Random(seed + 1))
     fleet.frozen.clear()
     fleet.play(8.0, demands, Random(seed + 2))
-    assert fleet.let_in_without_limit() == before
+    assert fleet.tokens_admitted_without_limit() == before
     assert fleet.ledger.find_unfair_shares(4, 22) == []
 
 
@@ -224,14 +224,14 @@
     # Routers that heard another one first turn to the first in order within two
     # seconds, and their last reports there count for less than two more.
     fleet.play(6.0, floods(10), Random(1))
-    while_they_start = fleet.exchanged
+    while_they_start = fleet.partial_loads_sent
     fleet.play(4.0, floods(10), Random(1))
-    assert fleet.exchanged == while_they_start < 50
+    assert fleet.partial_loads_sent == while_they_start < 50
     fleet.silent.add((3, "a"))
     fleet.play(3.0, floods(10), Random(1))
-    assert fleet.exchanged > while_they_start
+    assert fleet.partial_loads_sent > while_they_start
     fleet.silent.clear()
     fleet.play(5.0, floods(10), Random(1))
-    before = fleet.exchanged
+    before = fleet.partial_loads_sent
     fleet.play(3.0, floods(10), Random(1))
-    assert fleet.exchanged == before
+    assert fleet.partial_loads_sent == before
