--- a/standins/virtual_engines.py
+++ b/standins/virtual_engines.py
@@ -1,9 +1,9 @@
-"""Model engines and the routers before them in virtual time, without a network.
+"""Simulates model engines and the routers before them in virtual time.
 
-An engine admits requests in order of arrival while it has places, reads their prompts
-one after another, remembers the parts that it read in limited memory, least recently
-used first to go, and gives a place back when the answer has ended. Routers run the
-product's own placement and hear of each other's loads late, as on the real links.
+An engine admits requests in order of arrival while it has free slots and reads their
+prompts one after another. It caches the prompt parts that it read in limited memory,
+with least-recently-used eviction, and frees the slot when the answer ends. Routers run
+the product's placement and receive each other's loads with a delay, as on real links.
 """
 
 from collections import OrderedDict, deque
@@ -25,15 +25,15 @@
 from sesameford.tables import TargetState
 
 SERVICE = "pool"
-NOBODY_ELSE = LiveInstances(lambda *_: (), lambda *_: (), lambda *_: 0)
+NO_LIVE_INSTANCES = LiveInstances(lambda *_: (), lambda *_: (), lambda *_: 0)
 
 
 @dataclass(frozen=True, slots=True)
 class EngineFigures:
-    """What one engine can do; rates in tokens a second, times in seconds.
+    """Capacity and speed of one engine.
 
-    ``first_event_seconds`` is from a prompt's end to its first event at the router;
-    ``event_tokens_per_second`` how fast one answer grows.
+    ``first_event_seconds`` is the time from the end of reading a prompt to the first
+    event at the router; ``event_tokens_per_second`` is the output rate of one answer.
     """
 
     slots: int = 32
@@ -57,13 +57,16 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """When a request's first event came, and what was read for it."""
+    """Delay of a request's first event, and the tokens that were read for it.
+
+    ``reread_tokens`` is the part of the shared tokens that an engine had read before.
+    """
 
     arrival: Arrival
     target_id: str
     first_event_seconds: float = 0.0
     read_tokens: int = 0
-    again_tokens: int = 0
+    reread_tokens: int = 0
     is_failed: bool = False
 
     @property
@@ -83,17 +86,17 @@
     cached_tokens: int = 0
 
     def missing_tokens(self, prompt: Prompt) -> tuple[int, int]:
-        """Return the tokens of a prompt that are not remembered: shared, and own."""
+        """Return a prompt's shared tokens that are not cached, and its own tokens."""
         shared = 0
-        is_kept = True
+        is_cached = True
         for part in prompt.shared_parts:
-            is_kept = is_kept and part.part_id in self.cache
-            shared += 0 if is_kept else part.tokens
-        known = sum(part.tokens for part in prompt.shared_parts)
-        return shared, max(prompt.prompt_tokens - known, 0)
+            is_cached = is_cached and part.part_id in self.cache
+            shared += 0 if is_cached else part.tokens
+        shared_total = sum(part.tokens for part in prompt.shared_parts)
+        return shared, max(prompt.prompt_tokens - shared_total, 0)
 
-    def remember(self, prompt: Prompt) -> None:
-        """Keep a prompt's parts; what was used least recently goes."""
+    def add_to_cache(self, prompt: Prompt) -> None:
+        """Cache a prompt's parts and evict the least recently used ones."""
         for part in prompt.parts:
             self.cached_tokens -= self.cache.pop(part.part_id, 0)
             self.cache[part.part_id] = part.tokens
@@ -105,15 +108,15 @@
 
 @dataclass(slots=True)
 class VirtualEngines:
-    """Engines, routers and the replica that adds their loads up.
+    """Simulates engines, routers and the replica that sums the routers' loads.
 
-    ``failing`` engines fail at once this part of what they are sent.
+    ``failing`` has, by engine, the fraction of requests that fail at once.
     """
 
     routers: list[Placement]
     engines: dict[str, _Engine]
     settings: ServiceSettings
-    tell_seconds: float
+    report_interval_seconds: float
     delay_seconds: float
     now_seconds: float = 0.0
     failing: dict[str, float] = field(default_factory=dict)
@@ -121,27 +124,27 @@
     outcomes: list[Outcome] = field(default_factory=list)
     _events: list[tuple[float, int, Callable[[], None]]] = field(default_factory=list)
     _order: Iterator[int] = field(default_factory=count)
-    _sums: FleetSums = field(default_factory=lambda: make_fleet_sums(NOBODY_ELSE))
+    _sums: FleetSums = field(default_factory=lambda: make_fleet_sums(NO_LIVE_INSTANCES))
     _read_anywhere: set[int] = field(default_factory=set)
 
     def play(self, arrivals: Sequence[Arrival]) -> list[Outcome]:
-        """Play all arrivals to the end of their answers; return what became of them."""
+        """Simulate all arrivals until their answers end, and return their outcomes."""
         last_seconds = max(arrival.at_seconds for arrival in arrivals)
         for arrival in arrivals:
-            self._at(arrival.at_seconds, partial(self._arrive, arrival))
-        report_at_seconds = self.tell_seconds
-        while report_at_seconds < last_seconds + 1.0:
-            self._at(report_at_seconds, self._tell)
-            report_at_seconds += self.tell_seconds
+            self._schedule(arrival.at_seconds, partial(self._handle_arrival, arrival))
+        next_report_at_seconds = self.report_interval_seconds
+        while next_report_at_seconds < last_seconds + 1.0:
+            self._schedule(next_report_at_seconds, self._report_loads)
+            next_report_at_seconds += self.report_interval_seconds
         while self._events:
-            self.now_seconds, _, act = heappop(self._events)
-            act()
+            self.now_seconds, _, run_event = heappop(self._events)
+            run_event()
         return self.outcomes
 
-    def _at(self, at_seconds: float, act: Callable[[], None]) -> None:
-        heappush(self._events, (at_seconds, next(self._order), act))
+    def _schedule(self, at_seconds: float, run_event: Callable[[], None]) -> None:
+        heappush(self._events, (at_seconds, next(self._order), run_event))
 
-    def _tell(self) -> None:
+    def _report_loads(self) -> None:
         for number, router in enumerate(self.routers):
             load = RouterLoad(
                 router.loads(self.now_seconds),
@@ -152,16 +155,16 @@
         for answer in self._sums.tick(None, 0.0, self.now_seconds):
             assert isinstance(answer.message, FleetLoad)
             router = self.routers[int((answer.receiver_id or "")[1:])]
-            hear = partial(self._hear, router, answer.message)
-            self._at(self.now_seconds + self.delay_seconds, hear)
+            apply_load = partial(self._apply_fleet_load, router, answer.message)
+            self._schedule(self.now_seconds + self.delay_seconds, apply_load)
 
-    def _hear(self, router: Placement, fleet: FleetLoad) -> None:
+    def _apply_fleet_load(self, router: Placement, fleet: FleetLoad) -> None:
         router.set_other_routers_load(fleet.target_loads)
         router.record_used_parts(fleet.used, {SERVICE: self.settings})
         router.set_failing_targets(fleet.failing)
 
-    def _arrive(self, arrival: Arrival) -> None:
-        lease = self.routers[arrival.router].choose(
+    def _handle_arrival(self, arrival: Arrival) -> None:
+        reservation = self.routers[arrival.router].choose(
             SERVICE,
             arrival.prompt,
             self.settings,
@@ -169,40 +172,43 @@
             frozenset(),
             self.now_seconds,
         )
-        assert lease is not None
-        outcome = Outcome(arrival, lease.target_id)
+        assert reservation is not None
+        outcome = Outcome(arrival, reservation.target_id)
         self.outcomes.append(outcome)
-        if self.random.random() < self.failing.get(lease.target_id, 0.0):
+        if self.random.random() < self.failing.get(reservation.target_id, 0.0):
             outcome.is_failed = True
-            self.routers[arrival.router].record_bad_answer(lease.target_id)
-            self.routers[arrival.router].release(lease, self.now_seconds)
+            self.routers[arrival.router].record_bad_answer(reservation.target_id)
+            self.routers[arrival.router].release(reservation, self.now_seconds)
             return
-        engine = self.engines[lease.target_id]
-        engine.waiting.append((outcome, lease))
-        self._begin(engine)
+        engine = self.engines[reservation.target_id]
+        engine.waiting.append((outcome, reservation))
+        self._start_requests(engine)
 
-    def _begin(self, engine: _Engine) -> None:
-        """Admit what waits while there are places."""
+    def _start_requests(self, engine: _Engine) -> None:
+        """Admit waiting requests while slots are free."""
         while engine.waiting and engine.running < engine.figures.slots:
-            outcome, lease = engine.waiting.popleft()
+            outcome, reservation = engine.waiting.popleft()
             engine.running += 1
-            self._read(engine, outcome, lease)
+            self._read_prompt(engine, outcome, reservation)
 
-    def _read(self, engine: _Engine, outcome: Outcome, lease: Reservation) -> None:
+    def _read_prompt(
+        self, engine: _Engine, outcome: Outcome, reservation: Reservation
+    ) -> None:
         figures = engine.figures
         prompt = outcome.arrival.prompt
         shared, own = engine.missing_tokens(prompt)
         copied = 0
         source = next(
-            (one for one in self.engines if f"{one}:1" == lease.copy_from), None
+            (name for name in self.engines if f"{name}:1" == reservation.copy_from),
+            None,
         )
         if source is not None and figures.copy_tokens_per_second:
             copied = max(shared - self.engines[source].missing_tokens(prompt)[0], 0)
         read = shared - copied + own
         outcome.read_tokens = read
-        if self._note_read(prompt):
-            outcome.again_tokens = shared - copied
-        engine.remember(prompt)
+        if self._record_read(prompt):
+            outcome.reread_tokens = shared - copied
+        engine.add_to_cache(prompt)
         start_seconds = max(engine.busy_until_seconds, self.now_seconds)
         engine.busy_until_seconds = (
             start_seconds + read / figures.read_tokens_per_second
@@ -210,10 +216,13 @@
         if copied and figures.copy_tokens_per_second:
             engine.busy_until_seconds += copied / figures.copy_tokens_per_second
         first_seconds = engine.busy_until_seconds + figures.first_event_seconds
-        self._at(first_seconds, lambda: self._first_event(engine, outcome, lease))
+        self._schedule(
+            first_seconds,
+            lambda: self._handle_first_event(engine, outcome, reservation),
+        )
 
-    def _note_read(self, prompt: Prompt) -> bool:
-        """Note that the last shared part is read; return whether it was before."""
+    def _record_read(self, prompt: Prompt) -> bool:
+        """Record a read of the last shared part; return whether it was read before."""
         if not prompt.shared_parts:
             return False
         part_id = prompt.shared_parts[-1].part_id
@@ -221,43 +230,46 @@
         self._read_anywhere.add(part_id)
         return was_read
 
-    def _first_event(
-        self, engine: _Engine, outcome: Outcome, lease: Reservation
+    def _handle_first_event(
+        self, engine: _Engine, outcome: Outcome, reservation: Reservation
     ) -> None:
         arrival = outcome.arrival
         router = self.routers[arrival.router]
         outcome.first_event_seconds = self.now_seconds - arrival.at_seconds
-        router.record_answer_data(lease, self.now_seconds)
-        router.record_first_event(lease, self.now_seconds)
-        lasts_seconds = arrival.output_tokens / engine.figures.event_tokens_per_second
-        self._at(
-            self.now_seconds + lasts_seconds, lambda: self._end(engine, router, lease)
+        router.record_answer_data(reservation, self.now_seconds)
+        router.record_first_event(reservation, self.now_seconds)
+        answer_seconds = arrival.output_tokens / engine.figures.event_tokens_per_second
+        self._schedule(
+            self.now_seconds + answer_seconds,
+            lambda: self._finish_request(engine, router, reservation),
         )
 
-    def _end(self, engine: _Engine, router: Placement, lease: Reservation) -> None:
-        router.record_success(lease.target_id)
-        router.release(lease, self.now_seconds)
+    def _finish_request(
+        self, engine: _Engine, router: Placement, reservation: Reservation
+    ) -> None:
+        router.record_success(reservation.target_id)
+        router.release(reservation, self.now_seconds)
         engine.running -= 1
-        self._begin(engine)
+        self._start_requests(engine)
 
 
 def make_virtual_engines(
     routers: int,
     engines: int,
     figures: EngineFigures,
-    tell_seconds: float,
+    report_interval_seconds: float,
     delay_seconds: float = 0.01,
     seed: int = 1,
 ) -> VirtualEngines:
-    """Return routers before idle engines.
+    """Return a simulation with idle engines.
 
     Args:
-        routers: How many routers.
-        engines: How many engines.
-        figures: What each engine can do.
-        tell_seconds: How often loads are reported.
-        delay_seconds: How long a report is on its way.
-        seed: For what placement draws by lot.
+        routers: Number of routers.
+        engines: Number of engines.
+        figures: Capacity and speed of each engine.
+        report_interval_seconds: Interval between load reports.
+        delay_seconds: Transmission delay of a report.
+        seed: Seed of placement's random choices.
     """
     table = make_heartbeat_table()
     for number in range(engines):
@@ -275,6 +287,6 @@
             cache_tokens=figures.cache_tokens,
             cache_copy_tokens_per_second=figures.copy_tokens_per_second,
         ),
-        tell_seconds,
+        report_interval_seconds,
         delay_seconds,
     )
--- a/tests/test_virtual_engines.py
+++ b/tests/test_virtual_engines.py
@@ -11,7 +11,7 @@
 
 from sesameford.gateway.calls import Prompt, PromptPart
 from standins.virtual_engines import Arrival, EngineFigures, make_virtual_engines
-from tools.experiment import Fleet, hot_subject, play, steady, summed_up
+from tools.experiment import Fleet, hot_subject, make_row, play, steady
 
 MANY_ROUTERS = Fleet("many", 75, 30, 18.0)
 FEW_ROUTERS = Fleet("few", 8, 9, 18.0)
@@ -52,12 +52,12 @@
     All see the same engine idle and send there at once, so that one after the other is
     flooded, most first events are late, and shared parts are read everywhere.
     """
-    by_lot = summed_up("", "", play(MANY_ROUTERS, pattern, "home and two by lot"))
-    all_seen = summed_up("", "", play(MANY_ROUTERS, pattern, "all engines"))
+    by_lot = make_row("", "", play(MANY_ROUTERS, pattern, "home and two by lot"))
+    all_seen = make_row("", "", play(MANY_ROUTERS, pattern, "all engines"))
     assert by_lot.in_time > 0.92
     assert by_lot.in_time > all_seen.in_time
-    assert by_lot.busiest_part < 1.15
-    assert by_lot.again_part < 0.041
+    assert by_lot.busiest_ratio < 1.15
+    assert by_lot.reread_fraction < 0.041
 
 
 def test_a_hot_subject_does_not_stay_at_its_home():
@@ -65,10 +65,10 @@
 
     At its home alone they would wait for seconds; elsewhere the part is copied.
     """
-    home = summed_up("", "", play(FEW_ROUTERS, hot_subject, "home only"))
-    by_lot = summed_up("", "", play(FEW_ROUTERS, hot_subject, "home and two by lot"))
+    home = make_row("", "", play(FEW_ROUTERS, hot_subject, "home only"))
+    by_lot = make_row("", "", play(FEW_ROUTERS, hot_subject, "home and two by lot"))
     assert by_lot.in_time > home.in_time + 0.15
-    assert by_lot.busiest_part < 1.25
+    assert by_lot.busiest_ratio < 1.25
 
 
 def test_plays_are_the_same_again():
--- a/tools/experiment.py
+++ b/tools/experiment.py
@@ -1,9 +1,11 @@
-"""Policies of placement side by side, on engines in virtual time.
+"""Compares placement policies on simulated engines in virtual time.
 
     python -m tools.experiment [--plots FOLDER]
 
-Each pattern is played with each policy; a row says how many first events came in time,
-how late the slowest tenth was, and how much of shared parts was read again.
+Each load pattern is simulated with each policy. A row shows the fraction of first
+events within the objective, the 90th percentile of their delay, the fraction of prompt
+tokens that were read again, and the tokens read by the busiest engine relative to the
+mean.
 """
 
 import argparse
@@ -23,21 +25,22 @@
     make_virtual_engines,
 )
 
-PLAYED_SECONDS = 20.0
-# Of the drafting work: a long prompt of a subject, a short one, and a label for a text.
-# Each with shared and own tokens, tokens out, objective, and its part of all requests.
-KINDS = (
+SIMULATED_SECONDS = 20.0
+# Kinds of drafting requests: a long prompt about a subject, a short one, and a label
+# for a text. Each has shared tokens, own tokens, output tokens, objective in seconds,
+# and its fraction of all requests.
+REQUEST_KINDS = (
     (5_400, 6_600, 385, 0.6, 0.23),
     (200, 630, 290, 0.25, 0.36),
     (570, 1_800, 20, 0.25, 0.41),
 )
 SUBJECTS = 150
-HOT_PART = 0.3
+HOT_SUBJECT_FRACTION = 0.3
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """How many routers and engines, and requests a second for each engine."""
+    """Numbers of routers and engines; ``requests_per_second`` is for each engine."""
 
     name: str
     routers: int
@@ -50,32 +53,43 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """What one play showed."""
+    """Result of one simulation.
+
+    ``in_time`` is the fraction of requests within the objective, ``reread_fraction``
+    the fraction of prompt tokens that were read again, ``busiest_ratio`` the tokens
+    read by the busiest engine relative to the mean.
+    """
 
     pattern: str
     policy: str
     in_time: float
-    late_tenth_seconds: float
-    again_part: float
-    busiest_part: float
+    p90_seconds: float
+    reread_fraction: float
+    busiest_ratio: float
 
 
 def steady(fleet: Fleet, random: Random) -> Iterator[Arrival]:
-    """Requests come evenly, each kind with its part."""
-    yield from _arrivals(fleet, random, lambda at: 1.0, lambda at: 0.0)
+    """Yield requests at a constant rate."""
+    yield from _arrivals(fleet, random, lambda at_seconds: 1.0, lambda at_seconds: 0.0)
 
 
 def burst(fleet: Fleet, random: Random) -> Iterator[Arrival]:
-    """For three seconds twice as many requests come."""
+    """Yield requests at a rate that doubles for three seconds."""
     yield from _arrivals(
-        fleet, random, lambda at: 2.0 if 8.0 < at < 11.0 else 1.0, lambda at: 0.0
+        fleet,
+        random,
+        lambda at_seconds: 2.0 if 8.0 < at_seconds < 11.0 else 1.0,
+        lambda at_seconds: 0.0,
     )
 
 
 def hot_subject(fleet: Fleet, random: Random) -> Iterator[Arrival]:
-    """For six seconds three in ten requests are about one subject."""
+    """Yield requests of which 3 in 10 are about one subject for six seconds."""
     yield from _arrivals(
-        fleet, random, lambda at: 1.0, lambda at: HOT_PART if 6.0 < at < 12.0 else 0.0
+        fleet,
+        random,
+        lambda at_seconds: 1.0,
+        lambda at_seconds: HOT_SUBJECT_FRACTION if 6.0 < at_seconds < 12.0 else 0.0,
     )
 
 
@@ -89,23 +103,25 @@
 def _arrivals(
     fleet: Fleet,
     random: Random,
-    factor: Callable[[float], float],
-    hot: Callable[[float], float],
+    rate_factor: Callable[[float], float],
+    hot_fraction: Callable[[float], float],
 ) -> Iterator[Arrival]:
     at_seconds = 0.0
     rate = fleet.engines * fleet.requests_per_second
     number = 0
-    while at_seconds < PLAYED_SECONDS:
-        at_seconds += random.expovariate(rate * factor(at_seconds))
+    while at_seconds < SIMULATED_SECONDS:
+        at_seconds += random.expovariate(rate * rate_factor(at_seconds))
         number += 1
-        kind = random.choices(range(len(KINDS)), [one[4] for one in KINDS])[0]
-        shared, own, output_tokens, objective_seconds, _ = KINDS[kind]
+        kind = random.choices(
+            range(len(REQUEST_KINDS)), [fields[4] for fields in REQUEST_KINDS]
+        )[0]
+        shared, own, output_tokens, objective_seconds, _ = REQUEST_KINDS[kind]
         subject = random.randrange(SUBJECTS * fleet.engines // 9)
-        if random.random() < hot(at_seconds):
+        if random.random() < hot_fraction(at_seconds):
             subject = 0
         own = max(int(random.lognormvariate(0.0, 1.0) * own / 1.65), 10)
         parts = (
-            PromptPart(1 + kind + len(KINDS) * subject, shared),
+            PromptPart(1 + kind + len(REQUEST_KINDS) * subject, shared),
             PromptPart(10**9 + number, own),
         )
         prompt = Prompt("m", shared + own, output_tokens, parts)
@@ -114,9 +130,9 @@
 
 
 @contextmanager
-def _looking_at(home_engines: int, random_engines: int) -> Iterator[None]:
-    """Let placement look at so many engines meanwhile."""
-    before = engine_choice.HOME_ENGINES, engine_choice.RANDOM_ENGINES
+def _considered_engines(home_engines: int, random_engines: int) -> Iterator[None]:
+    """Set how many engines placement considers, for the time of the context."""
+    original = engine_choice.HOME_ENGINES, engine_choice.RANDOM_ENGINES
     engine_choice.HOME_ENGINES, engine_choice.RANDOM_ENGINES = (
         home_engines,
         random_engines,
@@ -124,7 +140,7 @@
     try:
         yield
     finally:
-        engine_choice.HOME_ENGINES, engine_choice.RANDOM_ENGINES = before
+        engine_choice.HOME_ENGINES, engine_choice.RANDOM_ENGINES = original
 
 
 POLICIES = {
@@ -142,38 +158,45 @@
     policy: str,
     seed: int = 1,
 ) -> list[Outcome]:
-    """Play one pattern with one policy.
+    """Simulate one pattern with one policy.
 
     Args:
-        fleet: How many routers and engines.
-        pattern: What is asked.
+        fleet: Numbers of routers and engines, and the request rate.
+        pattern: Returns the arrivals.
         policy: One of ``POLICIES``.
-        seed: For what is drawn.
+        seed: Seed of the arrivals.
+
+    Returns:
+        The outcome of each request.
     """
-    near, lot, copies = POLICIES[policy]
-    tell_seconds = report_seconds(fleet.routers)
+    home_engines, random_engines, copies = POLICIES[policy]
+    report_interval_seconds = report_seconds(fleet.routers)
     figures = EngineFigures(copy_tokens_per_second=400_000.0 if copies else None)
-    with _looking_at(near, lot):
+    with _considered_engines(home_engines, random_engines):
         engines = make_virtual_engines(
-            fleet.routers, fleet.engines, figures, tell_seconds
+            fleet.routers, fleet.engines, figures, report_interval_seconds
         )
         return engines.play(list(pattern(fleet, Random(seed))))
 
 
-def summed_up(pattern: str, policy: str, outcomes: list[Outcome]) -> Row:
-    """Return the row of one play."""
-    waits = sorted(one.first_event_seconds for one in outcomes)
-    counts: dict[str, int] = {}
-    for one in outcomes:
-        counts[one.target_id] = counts.get(one.target_id, 0) + one.read_tokens
-    read = sum(counts.values())
+def make_row(pattern: str, policy: str, outcomes: list[Outcome]) -> Row:
+    """Return the row of one simulation."""
+    delays_seconds = sorted(outcome.first_event_seconds for outcome in outcomes)
+    read_tokens_by_target: dict[str, int] = {}
+    for outcome in outcomes:
+        read_tokens_by_target[outcome.target_id] = (
+            read_tokens_by_target.get(outcome.target_id, 0) + outcome.read_tokens
+        )
+    total_read_tokens = sum(read_tokens_by_target.values())
     return Row(
         pattern,
         policy,
-        sum(one.is_in_time for one in outcomes) / len(outcomes),
-        waits[int(0.9 * len(waits))],
-        sum(one.again_tokens for one in outcomes) / read,
-        max(counts.values()) * len(counts) / read,
+        sum(outcome.is_in_time for outcome in outcomes) / len(outcomes),
+        delays_seconds[int(0.9 * len(delays_seconds))],
+        sum(outcome.reread_tokens for outcome in outcomes) / total_read_tokens,
+        max(read_tokens_by_target.values())
+        * len(read_tokens_by_target)
+        / total_read_tokens,
     )
 
 
@@ -183,10 +206,10 @@
     figure, axes = pyplot.subplots(figsize=(9, 4))
     patterns = [pattern.__name__ for pattern in PATTERNS]
     width = 0.8 / len(POLICIES)
-    for place, policy in enumerate(POLICIES):
+    for position, policy in enumerate(POLICIES):
         heights = [row.in_time for row in rows if row.policy == policy]
-        spots = [number + place * width for number in range(len(heights))]
-        axes.bar(spots, heights, width, label=policy)
+        positions = [number + position * width for number in range(len(heights))]
+        axes.bar(positions, heights, width, label=policy)
     axes.set_xticks([number + 0.4 for number in range(len(patterns))])
     axes.set_xticklabels(patterns)
     axes.set_ylabel("first events in time")
@@ -196,7 +219,7 @@
 
 
 def main() -> None:
-    """Print the table, and draw it where a folder is given."""
+    """Print the table, and write plots where a folder is given."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--plots", type=Path, help="a folder for plots")
     arguments = parser.parse_args()
@@ -206,12 +229,12 @@
         for pattern in PATTERNS:
             for policy in POLICIES:
                 outcomes = play(fleet, pattern, policy)
-                row = summed_up(pattern.__name__, policy, outcomes)
+                row = make_row(pattern.__name__, policy, outcomes)
                 rows.append(row)
                 print(
                     f"{fleet.name:7} {row.pattern:12} {row.policy:24} "
-                    f"{row.in_time:7.3f} {row.late_tenth_seconds:6.3f} "
-                    f"{row.again_part:6.3f} {row.busiest_part:8.2f}",
+                    f"{row.in_time:7.3f} {row.p90_seconds:6.3f} "
+                    f"{row.reread_fraction:6.3f} {row.busiest_ratio:8.2f}",
                     flush=True,
                 )
         if arguments.plots is not None:
