--- a/standins/virtual_cold.py
+++ b/standins/virtual_cold.py
@@ -1,8 +1,9 @@
-"""One cold target before many routers in virtual time: ways to bound what it gets.
+"""Simulates policies that bound the requests to one cold target in virtual time.
 
-Each router would send it some requests a second, as it looks idle. A way says whether a
-router may. While the fleet is split its parts hear nothing of each other, and a router
-counts only those that it hears.
+A cold target looks idle, so each of many routers would send it some requests per
+second. A policy decides whether a router may send. While the fleet is partitioned, its
+parts receive nothing from each other, and a router counts only the routers from which
+it receives messages.
 """
 
 from collections import deque
@@ -21,44 +22,47 @@
 
 STEP_SECONDS = 0.02
 TARGET = "cold"
-# Routers that may send to one cold target, in the way that picks them by a hash.
-PICKED_ROUTERS = 15
-# How old permits are when a router gets them, the usual way and while links are bad.
-NEWS_SECONDS = (0.02, 0.05, 0.1)
-LATE_NEWS_SECONDS = (0.05, 0.4, 1.5)
-# How often a router reports, and asks with it.
+# Mean number of routers that may send to a cold target under `by_hash`.
+HASHED_ROUTERS = 15
+# Delays of permits on their way to a router, usually and while links are bad.
+PERMIT_DELAYS_SECONDS = (0.02, 0.05, 0.1)
+LONG_PERMIT_DELAYS_SECONDS = (0.05, 0.4, 1.5)
+# Interval of a router's load reports, which also request permits.
 REPORT_SECONDS = 0.06
 
 
 @dataclass(frozen=True, slots=True)
 class ColdLoad:
-    """What a cold target got: the most in a second, and on average."""
+    """Requests that a cold target received in the busiest second, and per second."""
 
     most_requests: int
     mean_requests: float
 
 
-# Whether a router may send now; the arguments are its number and the time.
-May = Callable[[int, float], bool]
+# Returns whether a router may send; the arguments are its number and the time.
+MaySend = Callable[[int, float], bool]
 
 
 def play(
-    may: May,
+    may_send: MaySend,
     routers: int,
-    asked_requests: float,
+    requests_per_second: float,
     seconds: float,
     random: Random,
     tick: Callable[[float], None] = lambda now_seconds: None,
 ) -> ColdLoad:
-    """Let routers send what they may.
+    """Simulate routers that send to a cold target what the policy allows.
 
     Args:
-        may: The way.
-        routers: How many.
-        asked_requests: What all of them together would send in a second.
-        seconds: How long.
-        random: Draws when requests come.
-        tick: Runs what the way does regularly.
+        may_send: The policy.
+        routers: Number of routers.
+        requests_per_second: Requests for the target at all routers together.
+        seconds: Time to simulate.
+        random: Draws the arrivals of requests.
+        tick: Called in each step, for the periodic work of the policy.
+
+    Returns:
+        The load of the cold target.
     """
     recent: deque[float] = deque()
     most = total = 0
@@ -66,8 +70,8 @@
     while now_seconds < seconds:
         tick(now_seconds)
         for router in range(routers):
-            is_asked = random.random() < asked_requests / routers * STEP_SECONDS
-            if is_asked and may(router, now_seconds):
+            has_request = random.random() < requests_per_second / routers * STEP_SECONDS
+            if has_request and may_send(router, now_seconds):
                 recent.append(now_seconds)
                 total += 1
         while recent and now_seconds - recent[0] >= 1.0:
@@ -77,73 +81,77 @@
     return ColdLoad(most, total / seconds)
 
 
-def by_budget(bound_requests: float, heard_routers: int) -> May:
-    """Return the way by which each router has its part of the bound for itself."""
-    part_requests = bound_requests / heard_routers
+def by_budget(bound_requests_per_second: float, live_routers: int) -> MaySend:
+    """Return the policy that gives each router an equal part of the bound."""
+    router_requests_per_second = bound_requests_per_second / live_routers
     credits: dict[int, tuple[float, float]] = {}
 
-    def may(router: int, now_seconds: float) -> bool:
+    def may_send(router: int, now_seconds: float) -> bool:
         credit, at_seconds = credits.get(router, (1.0, now_seconds))
-        credit = min(credit + part_requests * (now_seconds - at_seconds), 1.0)
+        credit = min(
+            credit + router_requests_per_second * (now_seconds - at_seconds), 1.0
+        )
         credits[router] = (credit - 1.0 if credit >= 1.0 else credit, now_seconds)
         return credit >= 1.0
 
-    return may
+    return may_send
 
 
-def by_hash(heard_routers: int, seed: int) -> May:
-    """Return the way by which a few routers, picked by a hash, send one a second."""
+def by_hash(live_routers: int, seed: int) -> MaySend:
+    """Return the policy by which a few routers, chosen by hash, send one a second."""
     sent_at_seconds: dict[int, float] = {}
 
-    def may(router: int, now_seconds: float) -> bool:
-        drawn = xxh32_intdigest(f"{router}/{TARGET}/{seed}".encode()) / 2**32
-        if drawn >= PICKED_ROUTERS / heard_routers:
+    def may_send(router: int, now_seconds: float) -> bool:
+        hash_fraction = xxh32_intdigest(f"{router}/{TARGET}/{seed}".encode()) / 2**32
+        if hash_fraction >= HASHED_ROUTERS / live_routers:
             return False
         if now_seconds - sent_at_seconds.get(router, -1.0) < 1.0:
             return False
         sent_at_seconds[router] = now_seconds
         return True
 
-    return may
+    return may_send
 
 
 def by_permits(
-    rate_requests: float,
+    target_requests_per_second: float,
     bound: ColdBoundSettings,
     routers: int,
     data_centres: int,
     random: Random,
-    news_seconds: tuple[float, ...] = NEWS_SECONDS,
-) -> tuple[May, Callable[[float], None]]:
-    """Return the way of the product, and what it does regularly."""
+    permit_delays_seconds: tuple[float, ...] = PERMIT_DELAYS_SECONDS,
+) -> tuple[MaySend, Callable[[float], None]]:
+    """Return the product's policy of permits, and its periodic work."""
     replicas = [make_cold_permits(bound, data_centres) for _ in range(data_centres)]
     row = HeartbeatRow(TARGET, 1, "pool", "t:1", "a", 8, TargetState.READY, 60_000)
     table = make_heartbeat_table()
     table.handle_heartbeat(row, 0.0)
-    known = table.entries[TARGET]
-    fleet = [make_cold_targets(table) for _ in range(routers)]
-    coming: list[tuple[float, int, float]] = []
+    entry = table.entries[TARGET]
+    cold_targets = [make_cold_targets(table) for _ in range(routers)]
+    permits_in_transit: list[tuple[float, int, float]] = []
 
     def tick(now_seconds: float) -> None:
         for number, replica in enumerate(replicas):
-            asking = [
+            requesting_routers = [
                 str(router)
                 for router in range(number, routers, len(replicas))
-                if not fleet[router].may_send(known, now_seconds)
+                if not cold_targets[router].may_send(entry, now_seconds)
                 and random.random() < STEP_SECONDS / REPORT_SECONDS
             ]
-            rates = {short_name(TARGET): rate_requests}
-            for router_id in replica.give(rates, asking, now_seconds):
-                at_seconds = now_seconds + random.choice(news_seconds)
-                coming.append((at_seconds, int(router_id), now_seconds))
-        for one in [one for one in coming if one[0] <= now_seconds]:
-            coming.remove(one)
-            fleet[one[1]].take([short_name(TARGET)], one[2], now_seconds)
-
-    def may(router: int, now_seconds: float) -> bool:
-        if not fleet[router].may_send(known, now_seconds):
+            rates = {short_name(TARGET): target_requests_per_second}
+            for router_id in replica.give(rates, requesting_routers, now_seconds):
+                at_seconds = now_seconds + random.choice(permit_delays_seconds)
+                permits_in_transit.append((at_seconds, int(router_id), now_seconds))
+        for permit in [
+            permit for permit in permits_in_transit if permit[0] <= now_seconds
+        ]:
+            permits_in_transit.remove(permit)
+            cold_targets[permit[1]].take([short_name(TARGET)], permit[2], now_seconds)
+
+    def may_send(router: int, now_seconds: float) -> bool:
+        if not cold_targets[router].may_send(entry, now_seconds):
             return False
-        fleet[router].sent(known)
+        cold_targets[router].sent(entry)
         return True
 
-    return may, tick
+    return may_send, tick
