--- a/benchmarks/router_slopes.py
+++ b/benchmarks/router_slopes.py
@@ -20,7 +20,7 @@
 import psutil
 from aiohttp import ClientSession, TCPConnector
 
-from tools.client import Work, ask
+from tools.client import Work, request_completion
 from tools.demo import apply_tree, wait_for_targets
 from tools.fleet import Fleet
 from tools.members import free_ports
@@ -111,7 +111,7 @@
         async with places:
             mark = f"t{tokens}.{number}"
             work = Work(mark, customer.name, "letters", tokens, filler="x" * 200)
-            answer = await ask(session, url, customer.key, work)
+            answer = await request_completion(session, url, customer.key, work)
             if not answer.complete:
                 raise RuntimeError(f"{mark}: {answer}")
 
--- a/benchmarks/scenario.py
+++ b/benchmarks/scenario.py
@@ -23,7 +23,7 @@
 from sesameford.effective import FleetSettings, ModelSettings
 from sesameford.gap_bound import gap_bound
 from standins.batch import TOKEN_CHARACTERS
-from tools.client import Work, ask
+from tools.client import Work, request_completion
 from tools.demo import apply_tree, wait_for_targets
 from tools.fleet import Fleet
 from tools.load import (
@@ -160,7 +160,7 @@
                 run.shape.models[0],
                 CALM_TOKENS,
             )
-            answer = await ask(session, url, customer.key, work)
+            answer = await request_completion(session, url, customer.key, work)
             if number >= 0 and answer.complete:
                 results.append(answer.first_token_seconds)
 
@@ -194,11 +194,11 @@
     """Bring about what a phase is named for."""
     if phase.name == "restart":
         victim = next(iter(fleet.instances.values()))
-        load.down.add(victim.member_id)
+        load.down_instances.add(victim.member_id)
         killed_at = time.monotonic()
         await fleet.restart_empty(victim, DOWN_SECONDS)
         await fleet.wait_ready([victim])
-        load.down.discard(victim.member_id)
+        load.down_instances.discard(victim.member_id)
         run.killed = (victim.member_id, killed_at, time.monotonic())
     elif phase.name == "cut":
         await fleet.cut(run.shape.data_centres[-1])
--- a/tools/client.py
+++ b/tools/client.py
@@ -1,4 +1,4 @@
-"""A caller, as the demo, the load tool and the bench need one."""
+"""A caller for the demo, the load generator and the benchmarks."""
 
 import json
 import time
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """A completion to ask for; its mark names it in the stand-ins' counts."""
+    """A completion to request; its mark identifies it in the stand-ins' counts."""
 
     mark: str
     customer: str
@@ -29,14 +29,18 @@
 
     @property
     def prompt(self) -> str:
-        """Return the prompt with its marks."""
+        """Return the prompt with the fields that stand-in engines read."""
         fields = f"#mark={self.mark} #tokens={self.output_tokens}"
         return f"{self.filler} {fields} #customer={self.customer}"
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What a caller got; ``outcome`` is empty where no answer came at all."""
+    """The answer that a caller received.
+
+    ``outcome`` is empty if there was no answer; ``complete`` means that the whole
+    expected answer arrived, ``crossed`` that it contains parts of another answer.
+    """
 
     status: int
     outcome: str
@@ -49,7 +53,7 @@
     usage: Mapping[str, Any] = field(default_factory=dict)
 
 
-async def ask(
+async def request_completion(
     session: ClientSession,
     url: str,
     key: str,
@@ -62,15 +66,15 @@
 
     Args:
         session: The caller's connections.
-        url: The instance, or a stand-in engine directly.
+        url: Address of the instance, or of a stand-in engine.
         key: The customer's bearer key.
-        work: What to ask for.
-        timeout_seconds: When to give up.
-        headers: More headers to send.
-        on_first_byte: Called when the first part of the answer is here.
+        work: The completion to request.
+        timeout_seconds: Timeout of the whole request.
+        headers: Additional headers.
+        on_first_byte: Called when the first part of the answer arrives.
 
     Returns:
-        What came, checked token by token.
+        The answer, with its text compared with the expected one.
     """
     body: dict[str, Any] = {
         "model": work.model,
@@ -82,18 +86,18 @@
     else:
         body["prompt"] = work.prompt
     path = "/v1/chat/completions" if work.chat else "/v1/completions"
-    sent = {"Authorization": f"Bearer {key}", **(headers or {})}
+    request_headers = {"Authorization": f"Bearer {key}", **(headers or {})}
     if work.hint_cost_units is not None:
-        sent["Sesameford-Cost-Hint"] = f"{work.hint_cost_units:.1f}"
+        request_headers["Sesameford-Cost-Hint"] = f"{work.hint_cost_units:.1f}"
     started_at = time.monotonic()
     first_at = 0.0
     chunks: list[bytes] = []
-    status, outcome, request_id, broken = 0, "", "", ""
+    status, outcome, request_id, connection_error = 0, "", "", ""
     try:
         async with session.post(
             url + path,
             json=body,
-            headers=sent,
+            headers=request_headers,
             timeout=ClientTimeout(total=timeout_seconds),
         ) as response:
             status = response.status
@@ -105,13 +109,13 @@
                     on_first_byte()
                 chunks.append(chunk)
     except (ClientError, TimeoutError, OSError) as error:
-        broken = repr(error)
+        connection_error = repr(error)
     ended_at = time.monotonic()
     raw = b"".join(chunks)
-    text, usage, complete, reason = _read(raw, status, work.stream)
+    text, usage, complete, reason = _parse_answer(raw, status, work.stream)
     if status == 200 and _ERROR_MARK in raw:
-        # The outcome in the headers was sent before the stream broke; what is said
-        # in the stream goes before it.
+        # The headers were sent before the stream broke, so the error event in the
+        # stream takes precedence over the outcome in the headers.
         outcome = "unknown"
     expected = answer_text(work.mark, 0, work.output_tokens)
     return Answer(
@@ -122,15 +126,15 @@
         first_token_seconds=(first_at or ended_at) - started_at,
         total_seconds=ended_at - started_at,
         request_id=request_id,
-        reason=broken or reason,
+        reason=connection_error or reason,
         usage=usage,
     )
 
 
-def _read(
+def _parse_answer(
     raw: bytes, status: int, stream: bool
 ) -> tuple[str, Mapping[str, Any], bool, str]:
-    """Return text, usage, whether the end was seen, and the reason of an error."""
+    """Return the text, the usage, whether it is complete, and an error's reason."""
     if status != 200:
         return "", {}, False, _reason_of(raw)
     if not stream:
@@ -156,13 +160,13 @@
 
 
 def _text_of(choice: Mapping[str, Any]) -> str:
-    """Return the text of a choice: a completion's, or a chat's, whole or in part."""
+    """Return the text of a choice of a completion, a chat message or a chat delta."""
     part = choice.get("message") or choice.get("delta") or {}
     return str(choice.get("text") or part.get("content") or "")
 
 
 def _reason_of(raw: bytes) -> str:
-    """Return the reason in a problem document, or its first bytes."""
+    """Return the reason in a problem document, or the first bytes of another body."""
     try:
         return str(json.loads(raw).get("reason", ""))
     except (ValueError, AttributeError):
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -18,7 +18,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from tools.client import Answer, Work, ask
+from tools.client import Answer, Work, request_completion
 from tools.fleet import Fleet, FleetError
 from tools.load import call_service
 from tools.prometheus import read_metrics
@@ -116,7 +116,7 @@
                     stream=stream,
                     chat=chat,
                 )
-                answer = await ask(session, url, customer.key, work)
+                answer = await request_completion(session, url, customer.key, work)
                 answers[customer.name].append(answer)
             service = f"{url}/services/{fleet.shape.service_names[0]}"
             for method, path in (("GET", "roster"), ("POST", "mailing")):
@@ -137,7 +137,9 @@
         first = next(iter(fleet.instances.values()))
         work = Work("traced", customers[0].name, fleet.shape.models[0], 8)
         headers = {"traceparent": f"00-{trace_id}-{secrets.token_hex(8)}-01"}
-        traced = await ask(session, first.url, customers[0].key, work, headers=headers)
+        traced = await request_completion(
+            session, first.url, customers[0].key, work, headers=headers
+        )
         answers[customers[0].name].append(traced)
     return answers, trace_id
 
--- a/tools/load.py
+++ b/tools/load.py
@@ -1,8 +1,8 @@
-"""An open-loop load generator: what comes does not wait for what came before.
+"""An open-loop load generator: requests don't wait for earlier ones to end.
 
-Costs are heavy-tailed over two decades, hints are wrong by up to four times, large
-customers enter on one or two instances, customers come and go. All choices come
-from a seed, so that two variants meet the same load.
+Costs are heavy-tailed over two decades, and cost hints are wrong by up to 4 times.
+Large customers send to one or two instances, and some customers pause at times. All
+random choices come from a seed, so that two variants receive the same load.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 from aiohttp import ClientError, ClientSession, ClientTimeout, TCPConnector
 from hdrh.histogram import HdrHistogram
 
-from tools.client import Answer, Work, ask
+from tools.client import Answer, Work, request_completion
 from tools.shapes import Shape
 from tools.trees import LARGE_SHARE, Customer
 
@@ -25,7 +25,7 @@
 HINT_FACTOR = 4.0
 LARGE_CUSTOMERS, SMALL_CUSTOMERS, LIGHT_CUSTOMERS = 3, 10, 3
 PROMPT_CHARACTERS = (64, 640)
-# What the marks add to a prompt at most.
+# Upper bound of the characters that the mark fields add to a prompt.
 MARK_CHARACTERS = 60
 _HISTOGRAM_HIGH = 120_000_000
 _IDLE_STEP_SECONDS = 0.1
@@ -37,11 +37,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Phase:
-    """A part of a run.
+    """A phase of a run.
 
-    ``load`` is demand as a multiple of the capacity. In ``churn`` every second
-    customer is away for some seconds in turn. ``flood`` names a customer that asks
-    for ten times as much.
+    ``load`` is the demand as a multiple of the capacity. With ``churn``, customers
+    pause for some seconds in turn. ``flood`` names a customer that requests ten times
+    as much.
     """
 
     name: str
@@ -65,9 +65,10 @@
 
 
 def make_customers(instance_ids: Sequence[str], seed: int) -> Sequence[Customer]:
-    """Return 16 customers: few large ones on one or two instances, many small.
+    """Return 16 customers: a few large ones on one or two instances, and small ones.
 
-    The light ones ask for half of their portion and are never backlogged for long.
+    The light ones request 0.3 times as much as small ones and are never backlogged for
+    long.
     """
     source = random.Random(seed)
     customers = []
@@ -85,16 +86,16 @@
 
 @dataclass(slots=True)
 class Backlog:
-    """How many requests of a customer got no first token yet."""
+    """Requests of a customer without a first token, with the times they were sent."""
 
     waiting: dict[int, float] = field(default_factory=dict)
     was_empty: bool = True
 
     def sample(self, now_seconds: float) -> bool:
-        """Return whether requests waited ever since the last sample.
+        """Return whether requests waited all the time since the last sample.
 
-        A request that was only just sent is not waiting yet, so the oldest one must
-        be there for a moment.
+        A request that was just sent does not count as waiting, so the oldest one must
+        be older than `OVERDUE_SECONDS`.
         """
         oldest = min(self.waiting.values(), default=now_seconds)
         backlogged = not self.was_empty and now_seconds - oldest > OVERDUE_SECONDS
@@ -104,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sent:
-    """A request of the load and what came of it; no answer means given up."""
+    """A request of the load and its answer, None if it was abandoned."""
 
     mark: str
     customer: str
@@ -116,7 +117,7 @@
 
 
 @dataclass(slots=True)
-class _Arrivals:
+class _LoadState:
     """Counters and results of one run."""
 
     sent: list[Sent] = field(default_factory=list)
@@ -130,9 +131,9 @@
 
     Args:
         shape: The deployment.
-        customers: Who asks.
-        urls: Callers' addresses by instance.
-        seed: The source of all choices.
+        customers: Customers that send requests.
+        urls: Addresses for callers, by instance.
+        seed: Seed of all random choices.
     """
 
     def __init__(
@@ -146,10 +147,10 @@
         self._customers = customers
         self._urls = urls
         self._seed = seed
-        self._state = _Arrivals()
+        self._state = _LoadState()
         self._phase = Phase("idle", 0.0, 0.0)
         self._stopping = False
-        self.down: set[str] = set()
+        self.down_instances: set[str] = set()
         self.first_token = HdrHistogram(1, _HISTOGRAM_HIGH, 3)
         self.total = HdrHistogram(1, _HISTOGRAM_HIGH, 3)
         slots = shape.engines * shape.engine_slots
@@ -159,15 +160,15 @@
 
     @property
     def sent(self) -> Sequence[Sent]:
-        """Return every request that has ended."""
+        """Return all requests that have ended."""
         return self._state.sent
 
     def set_phase(self, phase: Phase) -> None:
-        """Change what is asked from now on."""
+        """Set the phase that determines the demand from now on."""
         self._phase = phase
 
     def backlogged(self, now_seconds: float) -> frozenset[str]:
-        """Return the customers who had waiting work since the last call."""
+        """Return the customers that had waiting requests since the last call."""
         return frozenset(
             name
             for name, backlog in self._state.backlogs.items()
@@ -175,19 +176,19 @@
         )
 
     def waiting(self) -> int:
-        """Return how many requests got no first token yet."""
+        """Return the number of requests without a first token."""
         return sum(len(backlog.waiting) for backlog in self._state.backlogs.values())
 
     async def run(self, stopped: asyncio.Event) -> None:
-        """Send until told to stop, then give up what is still open.
+        """Send requests until stopped, then abandon the open ones.
 
         Args:
-            stopped: Set when the load shall end.
+            stopped: Set to end the load.
         """
         connector = TCPConnector(limit=0)
         async with ClientSession(connector=connector) as session:
             arrivals = [
-                asyncio.create_task(self._customer(session, customer))
+                asyncio.create_task(self._run_customer(session, customer))
                 for customer in self._customers
             ]
             await stopped.wait()
@@ -206,7 +207,7 @@
             await finish(_FINISH_SECONDS)
 
     def _rate(self, customer: Customer, now_seconds: float) -> float:
-        """Return how many requests a second a customer sends now."""
+        """Return the current request rate of a customer, per second."""
         phase = self._phase
         rate = self._request_rate_per_share * customer.share * phase.load
         if customer.branch == "light":
@@ -215,7 +216,7 @@
             return 0.0
         return rate * 10 if phase.flood == customer.name else rate
 
-    async def _customer(self, session: ClientSession, customer: Customer) -> None:
+    async def _run_customer(self, session: ClientSession, customer: Customer) -> None:
         """Send one customer's requests at exponential intervals."""
         source = random.Random(f"{self._seed}-{customer.name}")
         self._state.backlogs[customer.name] = Backlog()
@@ -228,50 +229,50 @@
                 continue
             due_seconds += source.expovariate(rate)
             await asyncio.sleep(max(0.0, due_seconds - time.monotonic()))
-            task = asyncio.create_task(self._one(session, customer, source))
+            task = asyncio.create_task(self._send_completion(session, customer, source))
             self._state.tasks.add(task)
             task.add_done_callback(self._state.tasks.discard)
 
-    async def _one(
+    async def _send_completion(
         self, session: ClientSession, customer: Customer, source: random.Random
     ) -> None:
-        """Send one request and note what came."""
+        """Send one request and record its answer."""
         number = self._state.next_number
         self._state.next_number += 1
         phase = self._phase.name
-        instance_id = self._entry(customer, source)
+        instance_id = self._choose_instance(customer, source)
         if source.random() < _SERVICE_FRACTION:
             await self._call_service(session, customer, instance_id, number)
             return
         tokens = draw_tokens(source)
-        wrong = HINT_FACTOR ** source.uniform(-1, 1)
+        hint_error = HINT_FACTOR ** source.uniform(-1, 1)
         work = Work(
             mark=f"q{number}",
             customer=customer.name,
             model=source.choice(self._shape.models),
             output_tokens=tokens,
             filler=customer.name.ljust(source.randint(*PROMPT_CHARACTERS), "."),
-            hint_cost_units=tokens * wrong,
+            hint_cost_units=tokens * hint_error,
         )
         backlog = self._state.backlogs[customer.name]
         sent_at_seconds = time.monotonic()
         backlog.waiting[number] = sent_at_seconds
 
-        def started() -> None:
+        def record_start() -> None:
             backlog.waiting.pop(number, None)
             backlog.was_empty = backlog.was_empty or not backlog.waiting
 
         answer: Answer | None = None
         try:
-            answer = await ask(
+            answer = await request_completion(
                 session,
                 self._urls[instance_id],
                 customer.key,
                 work,
-                on_first_byte=started,
+                on_first_byte=record_start,
             )
         finally:
-            started()
+            record_start()
             self._state.sent.append(
                 Sent(
                     work.mark,
@@ -290,7 +291,7 @@
     async def _call_service(
         self, session: ClientSession, customer: Customer, instance_id: str, number: int
     ) -> None:
-        """Send a mailing, which must not be sent twice."""
+        """Send a mailing, which must not run twice, and record its answer."""
         name = self._shape.service_names[0]
         url = f"{self._urls[instance_id]}/services/{name}/mailing"
         query = f"?mark=s{number}&customer={customer.name}"
@@ -313,12 +314,18 @@
                 )
             )
 
-    def _entry(self, customer: Customer, source: random.Random) -> str:
-        """Return where a request enters, as the platform's balancer would choose."""
+    def _choose_instance(self, customer: Customer, source: random.Random) -> str:
+        """Return the instance for a request, chosen like the platform's balancer."""
         choice = source.choice(customer.entries)
-        if choice not in self.down:
+        if choice not in self.down_instances:
             return choice
-        return source.choice([one for one in self._urls if one not in self.down])
+        return source.choice(
+            [
+                instance_id
+                for instance_id in self._urls
+                if instance_id not in self.down_instances
+            ]
+        )
 
 
 async def call_service(
@@ -329,7 +336,7 @@
     delay_seconds: float,
     method: str = "POST",
 ) -> Answer:
-    """Call a plain service and check that the echo is of this call."""
+    """Call a plain service and check that the answer echoes the mark of this call."""
     started_at = time.monotonic()
     status, outcome, request_id, echo = 0, "unknown", "", {}
     try:
@@ -361,6 +368,6 @@
 
 
 def _is_away(name: str, now_seconds: float) -> bool:
-    """Return whether a customer of a churning phase sends nothing now."""
+    """Return whether a customer pauses now in a phase with churn."""
     offset = sum(name.encode()) % 7
     return int(now_seconds / 3.0 + offset) % 3 == 0
--- a/tools/soak_callers.py
+++ b/tools/soak_callers.py
@@ -8,7 +8,7 @@
 
 from aiohttp import ClientConnectorError, ClientError, ClientSession, ClientTimeout
 
-from tools.client import Work, ask
+from tools.client import Work, request_completion
 from tools.members import Member
 from tools.shapes import Shape
 from tools.trees import Customer
@@ -172,7 +172,7 @@
                 work.mark, kind, member.url, False, "none", reason, False, True, False,
                 began_at, time.monotonic(),
             )  # fmt: skip
-        answer = await ask(
+        answer = await request_completion(
             self._session,
             member.url,
             self._customer.key,
