--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -1,7 +1,7 @@
-"""Works docs/CAPACITY.md's figures out from what ``make slopes`` measured.
+"""Calculates the figures of docs/CAPACITY.md from the results of ``make slopes``.
 
 ``python -m tools.capacity`` writes the table between the two marks of the page;
-``--check`` says whether the page is what the slopes give.
+``--check`` fails if the page differs from the calculated table.
 """
 
 import json
@@ -24,42 +24,42 @@
 CHANGES_A_DAY, RESTARTS_A_DAY = 670, 220
 DAY_SECONDS = 86_400
 REPLICAS = 5
-# One request in a hundred is taken to be keyed and not repeatable.
+# Assumes that 1 request in 100 has an idempotency key and is not repeatable.
 KEYED_PER_SECOND = REQUESTS_PER_SECOND // 100
-# What the network carries around one message.
+# Bytes of network headers for one message.
 WIRE_HEADER_BYTES = 112
 
 CONTROL_CPU, CONTROL_MB, CONTROL_BYTES = 0.013, 32.0, 2048.0
-NODE_CPU, SET_ASIDE_CPU = 0.7, 0.7
+NODE_CPU, DEDICATED_CPU = 0.7, 0.7
 TOKEN_GAP_SECONDS = 0.047
-# Our own aim; the users' page sets none.
-TOKEN_TIMES = 2.0
+# The users' requirements set no limit for the cost of a token; this is our own aim.
+MAX_TOKEN_COST_RATIO = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """One line of the table; ``worked`` is None where nothing was measured."""
+    """One line of the table; ``computed`` is None if nothing was measured."""
 
     what: str
     mechanism: str
     formula: str
-    worked: float | None
+    computed: float | None
     budget: float
     unit: str
     miss: str = ""
 
     @property
     def verdict(self) -> str:
-        """Return whether it holds."""
-        if self.worked is None:
+        """Return whether the figure is within its budget."""
+        if self.computed is None:
             return "not measured"
-        if self.worked <= self.budget:
+        if self.computed <= self.budget:
             return "holds"
-        return f"MISSED by {self.worked / self.budget:.1f} times: {self.miss}"
+        return f"MISSED by {self.computed / self.budget:.1f} times: {self.miss}"
 
 
 def make_lines(slopes: Mapping[str, Any]) -> Sequence[Line]:
-    """Return every line, worked out at the target size."""
+    """Return all lines, calculated for the target size."""
     return [
         *_router_lines(slopes["router"], slopes.get("tree")),
         *_tree_lines(slopes.get("tree")),
@@ -70,7 +70,7 @@
 
 
 def _router_lines(router: Mapping[str, Any], tree: Any) -> Sequence[Line]:
-    """Return the lines of a router's own work."""
+    """Return the lines of a router's relaying and memory."""
     relay = router["relay"]
     requests = REQUESTS_PER_SECOND / NODES * relay["request_seconds"]
     tokens = TOKENS_PER_SECOND / NODES * relay["token_seconds"]
@@ -95,7 +95,7 @@
             f"{relay['token_seconds'] * 1e6:.1f} us against"
             f" {relay['bare_token_seconds'] * 1e6:.1f} us",
             relay["token_seconds"] / relay["bare_token_seconds"],
-            TOKEN_TIMES,
+            MAX_TOKEN_COST_RATIO,
             "times",
             "fewer steps for each chunk",
         ),
@@ -152,14 +152,14 @@
 
 
 def _membership_lines(router: Mapping[str, Any]) -> Sequence[Line]:
-    """Return the lines of heartbeats and target news among idle instances.
+    """Return the lines of heartbeats and target announcements of idle instances.
 
     The slopes are over instances in two data centres, half of them in each.
     """
     slopes = router["idle_slopes"]
     in_data_centre = NODES / DATA_CENTRES
     lines = []
-    for role, allowed in (("node", CONTROL_CPU), ("hub", SET_ASIDE_CPU)):
+    for role, allowed in (("node", CONTROL_CPU), ("hub", DEDICATED_CPU)):
         for name, unit, budget in (
             ("sent_bytes_per_second", "bytes/s", CONTROL_BYTES),
             ("cpu_fraction", "of a core", allowed),
@@ -198,7 +198,7 @@
                 f"{reports:.0f} reports/s x {allocator['report_seconds'] * 1e6:.0f} us"
                 f" + {ticks:.0f} ticks/s x {allocator['tick_seconds'] * 1e3:.1f} ms",
                 cpu,
-                SET_ASIDE_CPU,
+                DEDICATED_CPU,
                 "of a core",
                 "allocations over what changed alone",
             )
@@ -231,13 +231,13 @@
 
 
 def _log_lines(log: Any) -> Sequence[Line]:
-    """Return the lines of the replicated log, which changes and claims go through."""
+    """Return the lines of the replicated log, which stores changes and claims."""
     if not log:
         return [Line("replicated log", "`log_replica`", "", None, 0, "")]
     row = next(
-        one
-        for one in log["slopes"]
-        if one["replicas"] == REPLICAS and one["command_bytes"] < 1000
+        slope
+        for slope in log["slopes"]
+        if slope["replicas"] == REPLICAS and slope["command_bytes"] < 1000
     )
     each = row["processor_ms_per_change_and_replica"] / 1e3
     size = row["sent_bytes_per_change_all_replicas"] / REPLICAS
@@ -268,7 +268,7 @@
             "`claims`, `log_replica`",
             f"{claims}/s x {each * 1e3:.2f} ms, one after the other",
             idle + claims * each,
-            SET_ASIDE_CPU,
+            DEDICATED_CPU,
             "of a core",
             "claims in batches",
         ),
@@ -282,9 +282,9 @@
     ]
     rows.append("| --- | --- | --- | --- | --- | --- |")
     for line in lines:
-        worked = "" if line.worked is None else f"{line.worked:.3g} {line.unit}"
+        computed = "" if line.computed is None else f"{line.computed:.3g} {line.unit}"
         rows.append(
-            f"| {line.what} | {line.mechanism} | {line.formula} | {worked}"
+            f"| {line.what} | {line.mechanism} | {line.formula} | {computed}"
             f" | {line.budget:g} {line.unit} | {line.verdict} |"
         )
     return "\n".join(rows)
@@ -299,16 +299,16 @@
 
 def main() -> int:
     """Write or check the page."""
-    parser = ArgumentParser(description="Work the capacity page out of the slopes.")
+    parser = ArgumentParser(description="Calculate the capacity page from the slopes.")
     parser.add_argument("--check", action="store_true")
     options = parser.parse_args()
     table = render(make_lines(json.loads(SLOPES.read_text(encoding="utf-8"))))
     page = PAGE.read_text(encoding="utf-8")
-    wanted = updated_page(page, table)
+    expected = updated_page(page, table)
     print(table)
     if options.check:
-        return int(page != wanted)
-    PAGE.write_text(wanted, encoding="utf-8")
+        return int(page != expected)
+    PAGE.write_text(expected, encoding="utf-8")
     return 0
 
 
--- a/tools/count.py
+++ b/tools/count.py
@@ -1,4 +1,4 @@
-"""``make count``: lines of code by area, without blank lines, comments, docstrings."""
+"""Counts lines of code by area, without blank lines, comments and docstrings."""
 
 import ast
 import io
@@ -9,20 +9,20 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 
-# The first area with a fitting beginning of a module's name counts it.
+# Prefixes of module names by area; a module belongs to the first area that matches.
 AREAS = {
-    "routing": "router relay pools queues pool_allocation virtual_time prompts prefix"
+    "routing": "router relay pools queues pool_allocation virtual_time prompts"
     " scheduling leased leases allocation allocator independent scheduler_switch"
-    " estimates windows affinity accounts remote_reports demand lending place"
-    " target_record engine_ engine_memory load_report load_system fleet_sums"
+    " estimates windows affinity accounts remote_reports placement"
+    " target_record engine_ load_report load_system fleet_sums"
     " router_loads"
     " aggregator_choice service_balance share_gate shares"
     " route_table serve call_context forward admit calls",
     "limits": "limits target_exclusion costs grant_answers shares loop_lag",
     "retries": "retries suspects in_flight_attempts silence outcomes claims keyed"
-    " answers completion_run service_run caller_stream quarantine probes second_sends",
+    " answers completion_run service_run caller_stream probes second_sends",
     "membership": "members target election owner_queries peer_state stops voters"
-    " keepers heartbeat_table roster founding seeds",
+    " heartbeat_table roster founding",
     "state and recovery": "log_ tree state_machine fencing proposals effective",
 }
 _PLUMBING = "plumbing"
@@ -30,14 +30,14 @@
 
 def area_of(module: str) -> str:
     """Return the area of a module of the package."""
-    for area, beginnings in AREAS.items():
-        if module.startswith(tuple(beginnings.split())):
+    for area, prefixes in AREAS.items():
+        if module.startswith(tuple(prefixes.split())):
             return area
     return _PLUMBING
 
 
 def code_lines(text: str) -> int:
-    """Return how many lines of a module hold code."""
+    """Return the number of lines of a module's text that contain code."""
     lines: set[int] = set()
     skipped = {tokenize.COMMENT, tokenize.NL, tokenize.NEWLINE, tokenize.INDENT}
     skipped |= {tokenize.DEDENT, tokenize.ENDMARKER}
@@ -48,7 +48,7 @@
 
 
 def _docstring_lines(text: str) -> set[int]:
-    """Return the lines that docstrings take."""
+    """Return the numbers of the lines of docstrings."""
     lines: set[int] = set()
     owners = (ast.Module, ast.ClassDef, ast.FunctionDef, ast.AsyncFunctionDef)
     for node in ast.walk(ast.parse(text)):
@@ -59,7 +59,7 @@
 
 
 def main() -> int:
-    """Print the split."""
+    """Print the lines of code of each area."""
     counts: Counter[str] = Counter()
     for file in sorted((ROOT / "sesameford").rglob("*.py")):
         counts[area_of(file.stem)] += code_lines(file.read_text(encoding="utf-8"))
