--- a/tests/test_fair_fleet_machine.py
+++ b/tests/test_fair_fleet_machine.py
@@ -1,4 +1,4 @@
-"""Fuzzes the leased scheduler and allocators against an oracle of the true service."""
+"""Fuzzes the leased scheduler and allocators against the recorded true service."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -26,7 +26,7 @@
 )
 
 SLOTS = 3
-PLACES = {"a": 2, "b": 1}
+ENGINES_BY_DATA_CENTRE = {"a": 2, "b": 1}
 ROUTERS = {"e0": "a", "e1": "b", "e2": "a", "e3": "b"}
 CUSTOMERS = {"big": 1.0, "mid": 2.0, "tiny": 1.0, "capped": 1.0}
 CAPPED_REQUESTS = 2
@@ -40,7 +40,7 @@
 
 
 class FairFleet(RuleBasedStateMachine):
-    """Mixes arrivals, faults and time; an oracle records the true service."""
+    """Mixes arrivals, faults and time, and checks the true service of each customer."""
 
     @initialize(seed=st.integers(0, 1000))
     def start(self, seed):
@@ -54,7 +54,7 @@
         }
         fleet_settings = FleetSettings(quantum_cost_units=QUANTUM)
         tree = EffectiveTree(1, fleet_settings, customers)
-        targets = make_targets(PLACES, SLOTS)
+        targets = make_targets(ENGINES_BY_DATA_CENTRE, SLOTS)
         self.fleet = VirtualFleet(
             make_leased_scheduler, ROUTERS, targets, tree, seed, Network()
         )
@@ -87,7 +87,7 @@
 
     @rule(backlog=st.integers(100, 400), router=st.sampled_from(sorted(ROUTERS)))
     def backlog_and_time(self, backlog, router):
-        """Two customers have long backlogs, one through a single router."""
+        """Adds long backlogs for two customers, one of them at a single router."""
         for number in range(backlog):
             cost = LARGEST_COST_UNITS * (1 + number % 7) / 7.0
             self.fleet.submit(router, "big", cost, cost)
@@ -97,12 +97,12 @@
 
     @rule(fault=st.sampled_from(FAULTS), router=st.sampled_from(sorted(ROUTERS)))
     def break_or_mend(self, fault, router):
-        places = self.fleet.data_centres
+        data_centres = self.fleet.data_centres
         network = self.fleet.network
         if fault == "restart empty":
             self.fleet.start_router(router)
         elif fault == "cut data centre":
-            network.cut = lambda one, other: places[one] != places[other]
+            network.cut = lambda one, other: data_centres[one] != data_centres[other]
         elif fault == "hears nobody":
             network.cut = lambda one, other: other == router
         elif fault == "lossy":
@@ -118,7 +118,7 @@
         self.fault_at = self.fleet.now_seconds
 
     def watch(self, fleet):
-        """Record gaps, progress and idle slots after each step of time."""
+        """Record service gaps, progress and idle slots after each step."""
         now = fleet.now_seconds
         waiting = fleet.backlogged()
         clean = fleet.network.loss == 0.0
@@ -154,13 +154,16 @@
     @invariant()
     def the_gap_is_bounded(self):
         bound = gap_bound(
-            SLOTS * sum(PLACES.values()), UNITS_PER_SECOND, LARGEST_COST_UNITS, QUANTUM
+            SLOTS * sum(ENGINES_BY_DATA_CENTRE.values()),
+            UNITS_PER_SECOND,
+            LARGEST_COST_UNITS,
+            QUANTUM,
         )
         assert self.fleet.gaps.widest <= bound
 
     @invariant()
     def targets_are_not_overfilled(self):
-        """Each side of a split may fill a target once; a whole network never does."""
+        """Each side of a partition may fill a target once, a whole network may not."""
         for target_id in self.fleet.targets:
             running = self.fleet.running(target_id)
             sides = 1 if self.settled else 1 + len(ROUTERS)
--- a/tests/test_fair_shares_machine.py
+++ b/tests/test_fair_shares_machine.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of shares over a fleet, against what engines really began."""
+"""Fuzzes shares over a fleet against the requests that engines started."""
 
 from random import Random
 
@@ -19,13 +19,13 @@
 ENGINES_TOKENS = 2_000_000.0
 SIZES_TOKENS = (800, 3_000, 9_000)
 MOST_CUSTOMERS = 10
-# After a change of demand or of links shares follow within the seconds for which
-# averages and reports count; the rule is about calm seconds too.
+# After a change of demand or links, shares adapt within the seconds that averages and
+# reports cover. Seconds without a change are checked as well.
 SETTLING_SECONDS = 3
 
 
 class FairShares(RuleBasedStateMachine):
-    """Floods come and go while links between routers and replicas break."""
+    """Overloads start and end while links between routers and replicas fail."""
 
     @initialize(seed=st.integers(0, 1000), speed=st.sampled_from((1.0, 2.0)))
     def start(self, seed, speed):
@@ -45,8 +45,8 @@
     def flood(self, asked, routers, size):
         if len(self.demands) < MOST_CUSTOMERS:
             self.customers += 1
-            reached = self.random.sample(range(ROUTERS), routers)
-            self.demands[f"c{self.customers}"] = Demand(asked, reached, size)
+            reached_routers = self.random.sample(range(ROUTERS), routers)
+            self.demands[f"c{self.customers}"] = Demand(asked, reached_routers, size)
         self.calm_since_seconds = self.fleet.now_seconds
 
     @rule()
@@ -75,9 +75,9 @@
 
     @rule(has_room=st.booleans())
     def pass_time(self, has_room):
-        room_seconds = 0.0125 if has_room else 0.0
+        spare_capacity_wait_seconds = 0.0125 if has_room else 0.0
         seconds = SETTLING_SECONDS + WINDOW_SECONDS + 1
-        self.fleet.play(seconds, self.demands, self.random, room_seconds)
+        self.fleet.play(seconds, self.demands, self.random, spare_capacity_wait_seconds)
 
     @invariant()
     def nobody_gets_too_little(self):
--- a/tests/test_flooded_router.py
+++ b/tests/test_flooded_router.py
@@ -1,6 +1,7 @@
-"""What a customer gets whose callers all come by one router, more than it can refuse.
+"""A customer whose callers all overload one router gets no more than its share.
 
-Sixty-four routers, eleven floods, and one router whose calls cost processor time.
+64 routers receive eleven overloads. The calls of one router cost processor time, which
+limits how many of them it can refuse in time.
 """
 
 from random import Random
@@ -11,24 +12,28 @@
 from standins.virtual_shares import Demand, make_virtual_shares
 
 ROUTERS = 64
-ALL = tuple(range(ROUTERS))
+ALL_ROUTERS = tuple(range(ROUTERS))
 REPLICAS = ("a", "b", "c", "d", "e", "f")
 ENGINES_TOKENS = 2_500_000.0
 SIZE_TOKENS = 4_500
 SERVED_SECONDS = 0.004
-FLOOD_SECONDS = 2.0
+FLOOD_BEGIN_SECONDS = 2.0
 END_SECONDS = 14.0
 
 
 def flood(tokens_per_second, routers):
-    """Return a customer that asks for far too much."""
-    return Demand(tokens_per_second, routers, SIZE_TOKENS, from_seconds=FLOOD_SECONDS)
+    """Return a demand above the customer's share that begins after some seconds."""
+    return Demand(
+        tokens_per_second, routers, SIZE_TOKENS, from_seconds=FLOOD_BEGIN_SECONDS
+    )
 
 
 def play_flood(calls_per_second, costs, seed):
-    """Return a fleet after a flood by one router beside ten by all others."""
-    demands = {f"wide-{number}": flood(500_000.0, ALL[1:]) for number in range(10)}
-    demands["one"] = flood(calls_per_second * SIZE_TOKENS, ALL[:1])
+    """Simulate an overload at one router beside ten at all others."""
+    demands = {
+        f"wide-{number}": flood(500_000.0, ALL_ROUTERS[1:]) for number in range(10)
+    }
+    demands["one"] = flood(calls_per_second * SIZE_TOKENS, ALL_ROUTERS[:1])
     fleet = make_virtual_shares(
         ROUTERS, REPLICAS, ENGINES_TOKENS, data_centres=3, customers=("one",)
     )
@@ -38,8 +43,10 @@
 
 
 def find_unfair_shares(fleet):
-    """Return who got less than the rule says while the flood lasted."""
-    return fleet.ledger.find_unfair_shares(int(FLOOD_SECONDS) + 1, int(END_SECONDS))
+    """Return the unfair shares during the overload."""
+    return fleet.ledger.find_unfair_shares(
+        int(FLOOD_BEGIN_SECONDS) + 1, int(END_SECONDS)
+    )
 
 
 @pytest.mark.parametrize("seed", range(2))
@@ -47,10 +54,10 @@
     ("calls_per_second", "refused_seconds"),
     [(400, 0.0002), (400, 0.002), (1_200, 0.0005)],
 )
-def test_a_flood_that_its_router_can_refuse_gets_its_share(
+def test_an_overload_that_its_router_can_refuse_gets_its_share(
     calls_per_second, refused_seconds, seed
 ):
-    """A flood by one router gets less than floods by all routers, or is left unread."""
+    """Guards against a smaller share at one router, or calls that are never read."""
     costs = CallCosts(refused_seconds, SERVED_SECONDS)
     fleet = play_flood(calls_per_second, costs, seed)
     assert find_unfair_shares(fleet) == []
@@ -71,9 +78,9 @@
         (6_000, 0.002),
     ],
 )
-def test_a_flood_that_keeps_its_router_late_gets_its_share(
+def test_an_overload_that_keeps_its_router_late_gets_its_share(
     calls_per_second, refused_seconds, seed
 ):
-    """A flood that its router can't refuse in time is served next to nothing."""
+    """Guards against hardly serving a customer whose router refuses calls too late."""
     costs = CallCosts(refused_seconds, SERVED_SECONDS)
     assert find_unfair_shares(play_flood(calls_per_second, costs, seed)) == []
