--- a/standins/virtual_cold.py
+++ b/standins/virtual_cold.py
@@ -135,23 +135,25 @@
             requesting_routers = [
                 str(router)
                 for router in range(number, routers, len(replicas))
-                if not cold_targets[router].may_send(entry, now_seconds)
+                if not cold_targets[router].has_permit(entry, now_seconds)
                 and random.random() < STEP_SECONDS / REPORT_SECONDS
             ]
             rates = {short_name(TARGET): target_requests_per_second}
-            for router_id in replica.give(rates, requesting_routers, now_seconds):
+            for router_id in replica.grant(rates, requesting_routers, now_seconds):
                 at_seconds = now_seconds + random.choice(permit_delays_seconds)
                 permits_in_transit.append((at_seconds, int(router_id), now_seconds))
         for permit in [
             permit for permit in permits_in_transit if permit[0] <= now_seconds
         ]:
             permits_in_transit.remove(permit)
-            cold_targets[permit[1]].take([short_name(TARGET)], permit[2], now_seconds)
+            cold_targets[permit[1]].record_permits(
+                [short_name(TARGET)], permit[2], now_seconds
+            )
 
     def may_send(router: int, now_seconds: float) -> bool:
-        if not cold_targets[router].may_send(entry, now_seconds):
+        if not cold_targets[router].has_permit(entry, now_seconds):
             return False
-        cold_targets[router].sent(entry)
+        cold_targets[router].record_sent(entry)
         return True
 
     return may_send, tick
--- a/standins/virtual_loop.py
+++ b/standins/virtual_loop.py
@@ -1,8 +1,9 @@
 """Simulates a router's event loop in virtual time; each call costs processor time.
 
-The product's ``decide`` decides on each call. Callers wait in the listener's backlog
-until the loop accepts them, and give up if their call isn't read in time. The router's
-other work, its reports and the messages that it receives, waits behind the calls.
+The product's ``admit_call`` decides on each call. Callers wait in the listener's
+backlog until the loop accepts them, and give up if their call isn't read in time. The
+router's other work, its reports and the messages that it receives, waits behind the
+calls.
 """
 
 from collections import deque
@@ -12,7 +13,7 @@
 from random import Random
 from typing import cast
 
-from sesameford.gateway.admit import decide
+from sesameford.gateway.admit import admit_call
 from sesameford.gateway.call_context import GatewayDeps, GatewayState, Refusal
 from sesameford.gateway.calls import Call, Prompt, WireAdapter
 from sesameford.gateway.forward import Sender
@@ -150,7 +151,7 @@
             "id", "POST", call.host, call.path, (), call.customer, None, prompt
         )
         try:
-            decide(self.deps, gateway_call, self.clock_seconds)
+            admit_call(self.deps, gateway_call, self.clock_seconds)
         except Refusal:
             return False
         return True
--- a/tools/experiment.py
+++ b/tools/experiment.py
@@ -17,7 +17,7 @@
 
 from sesameford.gateway import engine_choice
 from sesameford.gateway.calls import Prompt, PromptPart
-from sesameford.gateway.load_report import report_seconds
+from sesameford.gateway.load_report import report_interval_seconds
 from standins.virtual_engines import (
     Arrival,
     EngineFigures,
@@ -170,11 +170,11 @@
         The outcome of each request.
     """
     home_engines, random_engines, copies = POLICIES[policy]
-    report_interval_seconds = report_seconds(fleet.routers)
+    interval_seconds = report_interval_seconds(fleet.routers)
     figures = EngineFigures(copy_tokens_per_second=400_000.0 if copies else None)
     with _considered_engines(home_engines, random_engines):
         engines = make_virtual_engines(
-            fleet.routers, fleet.engines, figures, report_interval_seconds
+            fleet.routers, fleet.engines, figures, interval_seconds
         )
         return engines.play(list(pattern(fleet, Random(seed))))
 
