--- a/sesameford/operators.py
+++ b/sesameford/operators.py
@@ -324,7 +324,7 @@
         raise Problem(
             503,
             "behind",
-            "this instance has not received the base revision yet; nothing changed",
+            "this instance has not heard of the base revision yet; nothing changed",
             present_revision=answer.revision,
         )
     return _decided_result(body.change_id, answer)
--- a/sesameford/relay.py
+++ b/sesameford/relay.py
@@ -333,9 +333,7 @@
                 turn = exclusion.run_exclusive(attempt.target_id, digest)
             await stack.enter_async_context(turn)
     except TimeoutError as error:
-        raise TargetRefusedError(
-            "the target was not free before the deadline", Failure.NEVER_SENT
-        ) from error
+        raise TargetRefusedError("no turn in time", Failure.NEVER_SENT) from error
     _refuse_quarantined(deps, call)
 
 
--- a/sesameford/router.py
+++ b/sesameford/router.py
@@ -146,7 +146,7 @@
                 request_id,
                 NotRunError(
                     "deadline",
-                    "no slot became free before the deadline",
+                    "no place became free before the deadline",
                     503,
                     DEADLINE_RETRY_SECONDS,
                 ),
--- a/sesameford/tree.py
+++ b/sesameford/tree.py
@@ -286,9 +286,7 @@
             found = describe_value(backend.service)
             raise FieldError(f"{path}.backends", found, "services that are declared")
     if sum(backend.weight for backend in route.backends) <= 0:
-        raise FieldError(
-            f"{path}.backends", "weights of 0 in total", "a total weight above 0"
-        )
+        raise FieldError(f"{path}.backends", "no weight", "a weight above 0 in all")
 
 
 def _root_name(root: Any) -> str:
@@ -312,9 +310,7 @@
     node = TreeNode(is_leaf, check_fields(own, ROOTS[root], path))
     if not is_leaf:
         for name in LEAF_FIELDS & node.settings.keys():
-            raise FieldError(
-                f"{path}.{name}", "the field at a branch", "the field at a leaf only"
-            )
+            raise FieldError(f"{path}.{name}", "it at a branch", "it at a leaf only")
     yield path, node
     if "children" in raw:
         yield from _walk_children(raw["children"], path, root, depth)
--- a/sesameford/yaml_text.py
+++ b/sesameford/yaml_text.py
@@ -123,7 +123,7 @@
         elif isinstance(event, DocumentStartEvent):
             self._documents += 1
             if self._documents > 1:
-                raise _error_at("more than one document", event)
+                raise _error_at("a second document", event)
 
     def _put(self, value: Any, event: Event) -> None:
         """Add a finished value to the innermost open collection."""
@@ -163,7 +163,7 @@
             self.expects_key = True
             return
         if not isinstance(value, str):
-            raise _error_at("a key must be a scalar", event)
+            raise _error_at("this key is no plain value", event)
         # In plain YAML the last of two equal keys wins. If an operator pasted a
         # customer twice, one of the two would disappear without an error.
         if value in self.value:
