--- a/standins/engine_queue.py
+++ b/standins/engine_queue.py
@@ -31,7 +31,7 @@
         self.waiting.append((customer, router, tokens))
         self.waiting_tokens += tokens
 
-    def pass_time(self, seconds: float) -> Iterable[tuple[str, int, int]]:
+    def start_requests(self, seconds: float) -> Iterable[tuple[str, int, int]]:
         """Return the requests that are begun now."""
         self.credit_tokens += seconds * self.tokens_per_second
         while self.waiting and self.credit_tokens >= self.waiting[0][2]:
--- a/standins/virtual_shares.py
+++ b/standins/virtual_shares.py
@@ -270,7 +270,7 @@
             loop.run(self.now_seconds + REPORT_SECONDS)
 
     def _begin(self) -> None:
-        for name, router, tokens in self._queue.pass_time(REPORT_SECONDS):
+        for name, router, tokens in self._queue.start_requests(REPORT_SECONDS):
             self.routers[router].gate.record_start(name, tokens)
             self.ledger.began(name, tokens, int(self.now_seconds))
 
