--- a/standins/platform_server.py
+++ b/standins/platform_server.py
@@ -24,14 +24,14 @@
     UNFRAMED = "no length, ends in order"
     UNFRAMED_RESET = "no length, reset in the middle"
     CUT_STREAM = "a stream that ends inside an event"
-    MUTE = "runs and never answers"
+    SILENT = "runs and never answers"
     CLOSE = "runs and closes without an answer"
     SHED = "does not run it and says so"
     ERROR = "runs and fails"
 
 
 @dataclass(slots=True)
-class Seen:
+class ReceivedCall:
     """A call as it reached the server."""
 
     method: str
@@ -52,10 +52,10 @@
     pause_seconds: float = 0.0
     last_arrival_seconds: float = 0.0
     arrivals_seconds: list[float] = field(default_factory=list)
-    seen: list[Seen] = field(default_factory=list)
+    received_calls: list[ReceivedCall] = field(default_factory=list)
     runs: Counter[str] = field(default_factory=Counter)
     connections: int = 0
-    left_early: int = 0
+    peer_disconnects: int = 0
     address: str = ""
     _server: asyncio.Server | None = None
     _writers: set[asyncio.StreamWriter] = field(default_factory=set)
@@ -81,11 +81,11 @@
         try:
             while True:
                 call = await _read_call(reader)
-                self.seen.append(call)
+                self.received_calls.append(call)
                 if not await self._answer(call, reader, writer):
                     return
         except (asyncio.IncompleteReadError, ConnectionError):
-            self.left_early += 1
+            self.peer_disconnects += 1
         except asyncio.CancelledError:
             # The loop ends while it works. Passed on, the library would print a
             # traceback for each connection.
@@ -95,45 +95,48 @@
             writer.close()
 
     async def _answer(
-        self, call: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self,
+        call: ReceivedCall,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
     ) -> bool:
         """Answer one call; False ends the connection."""
-        call_id = call.headers["x-sesameford-attempt-id"]
+        request_id = call.headers["x-sesameford-attempt-id"]
         if call.headers.get("x-sesameford-expect-instance") != self.target_id:
-            writer.write(_head(421, call_id, {"Content-Length": "0"}))
+            writer.write(_head(421, request_id, {"Content-Length": "0"}))
             return True
         if self.fault is Fault.SHED:
             extra = {"Content-Length": "0", "X-Sesameford-Not-Executed": "1"}
-            writer.write(_head(503, call_id, extra))
+            writer.write(_head(503, request_id, extra))
             return True
-        self.runs[call_id] += 1
+        self.runs[request_id] += 1
         self.last_arrival_seconds = monotonic()
         self.arrivals_seconds.append(self.last_arrival_seconds)
-        if self.fault is Fault.MUTE:
+        if self.fault is Fault.SILENT:
             await reader.read()
-            self.left_early += 1
+            self.peer_disconnects += 1
             return False
         if self.fault is Fault.CLOSE:
             return False
         if "/stream/" in call.target:
-            return await self._stream(call, call_id, writer)
-        return await self._plain(call, call_id, writer)
+            return await self._stream(call, request_id, writer)
+        return await self._plain(call, request_id, writer)
 
     async def _plain(
-        self, call: Seen, call_id: str, writer: asyncio.StreamWriter
+        self, call: ReceivedCall, request_id: str, writer: asyncio.StreamWriter
     ) -> bool:
         await asyncio.sleep(self.pause_seconds)
         status = 500 if self.fault is Fault.ERROR else 200
         body = b"answer to " + call.body
         if self.fault in (Fault.UNFRAMED, Fault.UNFRAMED_RESET):
-            writer.write(_head(status, call_id, {"Connection": "close"}) + body)
+            writer.write(_head(status, request_id, {"Connection": "close"}) + body)
             await writer.drain()
             if self.fault is Fault.UNFRAMED_RESET:
                 # Long enough for the first part to be read, as on a real network.
                 await asyncio.sleep(0.05)
                 _reset(writer)
             return False
-        answer = _head(status, call_id, {"Content-Length": str(len(body))}) + body
+        answer = _head(status, request_id, {"Content-Length": str(len(body))}) + body
         writer.write(answer)
         await writer.drain()
         if self.fault is Fault.TWICE:
@@ -144,14 +147,14 @@
         return True
 
     async def _stream(
-        self, call: Seen, call_id: str, writer: asyncio.StreamWriter
+        self, call: ReceivedCall, request_id: str, writer: asyncio.StreamWriter
     ) -> bool:
         first = int(call.headers.get("last-event-id", "0")) + 1
         headers = {
             "Content-Type": "text/event-stream",
             "Transfer-Encoding": "chunked",
         }
-        writer.write(_head(200, call_id, headers))
+        writer.write(_head(200, request_id, headers))
         for number in range(first, EVENTS + 1):
             await asyncio.sleep(self.pause_seconds)
             event = EVENT % number
@@ -179,17 +182,17 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def _head(status: int, call_id: str, extra: dict[str, str]) -> bytes:
+def _head(status: int, request_id: str, extra: dict[str, str]) -> bytes:
     headers = {
-        "X-Sesameford-Attempt-Id": call_id,
-        "X-Sesameford-Response-Signature": f"signed-{call_id}",
+        "X-Sesameford-Attempt-Id": request_id,
+        "X-Sesameford-Response-Signature": f"signed-{request_id}",
         **extra,
     }
     lines = [f"HTTP/1.1 {status} Said", *(f"{k}: {v}" for k, v in headers.items())]
     return "\r\n".join([*lines, "", ""]).encode()
 
 
-async def _read_call(reader: asyncio.StreamReader) -> Seen:
+async def _read_call(reader: asyncio.StreamReader) -> ReceivedCall:
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     first, *rest = head.split("\r\n")
     method, target, _ = first.split(" ")
@@ -199,7 +202,7 @@
         if colon:
             headers[name.lower()] = value.strip()
     body = await reader.readexactly(int(headers.get("content-length", "0")))
-    return Seen(method, target, headers, body)
+    return ReceivedCall(method, target, headers, body)
 
 
 def make_platform_server(target_id: str, fault: Fault = Fault.NONE) -> PlatformServer:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -22,7 +22,7 @@
         status, body, headers = await desk.ask(path, Accept="text/plain")
         assert (status, body) == (200, b"answer to notes")
         assert headers["X-Sesameford-Response-Signature"] == "signed-id-1"
-        seen = desk.servers[0].seen[0]
+        seen = desk.servers[0].received_calls[0]
         assert (seen.method, seen.target, seen.body) == ("POST", path, b"notes")
         assert seen.headers["accept"] == "text/plain"
         assert seen.headers["x-sesameford-tenant"] == "club"
@@ -42,7 +42,7 @@
             "Kv-Fetch": "10.0.0.1:1",
         }
         await desk.ask("/unsafe/", **forged, **{"X-Sesameford-Hold": "h"})
-        headers = desk.servers[0].seen[0].headers
+        headers = desk.servers[0].received_calls[0].headers
         assert headers["x-sesameford-tenant"] == "club"
         assert "kv-from" not in headers
         assert "kv-fetch" not in headers
@@ -88,7 +88,7 @@
         assert desk.runs == 1
 
 
-@pytest.mark.parametrize("fault", [Fault.CLOSE, Fault.MUTE])
+@pytest.mark.parametrize("fault", [Fault.CLOSE, Fault.SILENT])
 async def test_a_call_that_may_have_run_is_not_sent_again(fault):
     """A server takes a call that may run once, and its answer is lost.
 
@@ -204,19 +204,19 @@
 
 async def test_a_caller_who_leaves_frees_the_server():
     """A caller gives up before the answer; the server's connection is closed."""
-    async with open_desk(Fault.MUTE) as desk:
+    async with open_desk(Fault.SILENT) as desk:
         asking = asyncio.create_task(desk.ask("/unsafe/"))
         async with asyncio.timeout(2):
             while not desk.runs:
                 await asyncio.sleep(0.01)
             asking.cancel()
-            while not desk.servers[0].left_early:
+            while not desk.servers[0].peer_disconnects:
                 await asyncio.sleep(0.01)
 
 
 async def test_a_route_s_time_ends_a_call():
     """A server never answers; the caller hears so when the route's time is over."""
-    async with open_desk(Fault.MUTE) as desk:
+    async with open_desk(Fault.SILENT) as desk:
         started = asyncio.get_running_loop().time()
         assert (await desk.ask("/short/"))[0] == 504
         assert asyncio.get_running_loop().time() - started < 1.0
@@ -333,7 +333,7 @@
         (Fault.NONE, "/unsafe/", 0),
         (Fault.ERROR, "/unsafe/", 1),
         (Fault.CLOSE, "/unsafe/", 1),
-        (Fault.MUTE, "/unsafe/", 1),
+        (Fault.SILENT, "/unsafe/", 1),
         (Fault.SHED, "/unsafe/", 0),
     ],
 )
--- a/tools/platform_soak.py
+++ b/tools/platform_soak.py
@@ -54,7 +54,7 @@
     Fault.CLOSE,
     Fault.SHED,
     Fault.ERROR,
-    Fault.MUTE,
+    Fault.SILENT,
 )
 
 
