--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the systems that sesameford meets: targets and faulty networks."""
+"""Stand-ins for the systems that sesameford connects to: targets, faulty networks."""
--- a/standins/announce.py
+++ b/standins/announce.py
@@ -1,4 +1,4 @@
-"""Announces a stand-in to the instances, as the platform's targets do."""
+"""Announces a stand-in to instances in the way the platform's targets do."""
 
 import asyncio
 from collections.abc import Sequence
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """What a target says of itself."""
+    """The properties that a target announces."""
 
     target_id: str
     incarnation: int
@@ -31,9 +31,9 @@
     """Renews a target's lease with any of several instances.
 
     Args:
-        announcement: What to say.
+        announcement: The properties to announce.
         urls: Operators' addresses of instances, tried in turn until one answers.
-        platform_key: The bearer key of announcing targets.
+        platform_key: The bearer key of targets that announce themselves.
     """
 
     def __init__(
@@ -46,13 +46,13 @@
         self.refusals = 0
 
     async def run(self, session: ClientSession) -> None:
-        """Announce every third of the lease until cancelled."""
+        """Announce the target every third of the lease until cancelled."""
         while True:
-            await self._send(session, "announce", self._full_body())
+            await self._send(session, "announce", self._make_body())
             await asyncio.sleep(self._announcement.lease_seconds / 3)
 
     async def leave(self, session: ClientSession) -> None:
-        """Say that no new work shall come here."""
+        """Announce that the target accepts no new work."""
         self._sequence += 1
         body = {
             "target_id": self._announcement.target_id,
@@ -61,27 +61,27 @@
         }
         await self._send(session, "leave", body)
 
-    def _full_body(self) -> dict[str, Any]:
-        """Return the next announcement."""
+    def _make_body(self) -> dict[str, Any]:
+        """Return the request body of the next announcement."""
         self._sequence += 1
-        said = self._announcement
+        announcement = self._announcement
         return {
-            "target_id": said.target_id,
-            "incarnation": said.incarnation,
+            "target_id": announcement.target_id,
+            "incarnation": announcement.incarnation,
             "sequence": self._sequence,
-            "kind": said.kind,
-            "serves": list(said.serves),
-            "url": said.url,
-            "data_centre": said.data_centre,
-            "capacity_slots": said.capacity_slots,
-            "lease_seconds": said.lease_seconds,
-            "checks_fencing": said.checks_fencing,
+            "kind": announcement.kind,
+            "serves": list(announcement.serves),
+            "url": announcement.url,
+            "data_centre": announcement.data_centre,
+            "capacity_slots": announcement.capacity_slots,
+            "lease_seconds": announcement.lease_seconds,
+            "checks_fencing": announcement.checks_fencing,
         }
 
     async def _send(
         self, session: ClientSession, verb: str, body: dict[str, Any]
     ) -> None:
-        """Tell the first instance that answers; the one that did stays first."""
+        """Post to the first instance that answers, and keep it first in the list."""
         for _ in range(len(self._urls)):
             url = f"{self._urls[0]}/targets/{verb}"
             try:
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,4 +1,4 @@
-"""A stand-in for a model engine, with one event per token, sent in small bursts.
+"""A stand-in for a model engine that sends one event per token, in small bursts.
 
 ``python -m standins.engine --port 9001 --target-id e1 --data-centre a --models m1``
 """
@@ -21,7 +21,7 @@
 from standins.shell import make_parser, open_journal, run_target
 
 CRASH_EXIT_CODE = 70
-_KEPT_STREAMS = 2_000
+_MAX_FINISHED_STREAMS = 2_000
 _LOAD_SAMPLE_SECONDS = 0.1
 _SILENT_AFTER_EVENTS = 2
 _ORDER_KINDS = ("load", "unload", "adapter", "version", "role")
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class _Stream:
-    """The events of one attempt, kept so that it can be resumed."""
+    """The events of one attempt, stored so that its stream can be resumed."""
 
     attempt_id: str
     marks: Marks
@@ -41,14 +41,14 @@
     over: bool = False
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
-    def wake(self) -> None:
-        """Let all readers go on; the next wait starts anew."""
+    def notify_readers(self) -> None:
+        """Wake all readers, and reset the event for their next wait."""
         self.changed.set()
         self.changed = asyncio.Event()
 
 
 class Engine:
-    """The HTTP shell around a batch, a prefix cache and the counts."""
+    """The HTTP interface of a batch, a prefix cache and the counts."""
 
     def __init__(self, options: Namespace) -> None:
         self.models = set(options.models.split(","))
@@ -63,7 +63,7 @@
         self._waiting_limit = options.waiting_limit
         self._checks_fencing = options.checks_fencing
         self._load_seconds = options.load_seconds
-        self._note = open_journal(options)
+        self._record_start = open_journal(options)
         self._streams: dict[str, _Stream] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._kv: dict[str, bytes] = {}
@@ -85,11 +85,11 @@
                 web.delete("/v1/streams/{attempt_id}", self._cancel),
                 web.get("/load", self._report_load),
                 web.get("/cache-events", self._report_cache_events),
-                web.post("/orders", self._take_order),
+                web.post("/orders", self._handle_order),
                 web.get("/kv/{prefix}", self._export_kv),
                 web.put("/kv/{prefix}", self._import_kv),
                 web.get("/counts", self._report_counts),
-                web.post("/faults", self._take_faults),
+                web.post("/faults", self._set_faults),
             ]
         )
         app.on_startup.append(self._start_sampling)
@@ -100,7 +100,7 @@
         return bool(self.batch.running or self.batch.waiting)
 
     async def _start_sampling(self, _app: web.Application) -> None:
-        """Note the load now and then, for the lagging report."""
+        """Sample the load periodically for the delayed report."""
         loop = asyncio.get_running_loop()
 
         def sample() -> None:
@@ -112,7 +112,7 @@
     async def _complete(self, request: web.Request) -> web.StreamResponse:
         """Run a completion, always streamed."""
         attempt_id = request.headers.get("X-Attempt-Id") or os.urandom(8).hex()
-        await self._partition.wait_open(attempt_id)
+        await self._partition.wait_until_reachable(attempt_id)
         body = json.loads(await request.read())
         prompt = prompt_of(body)
         marks = read_marks(prompt, body.get("max_tokens"))
@@ -120,9 +120,9 @@
         full = self.batch.waiting >= self._waiting_limit
         if full or self._refuse_next or "refuse" in marks.flags:
             self._refuse_next = max(0, self._refuse_next - 1)
-            return _not_started("busy")
+            return _make_not_started_response("busy")
         if model not in self.models:
-            return _not_started(f"model {model} is not loaded")
+            return _make_not_started_response(f"model {model} is not loaded")
         if attempt_id in self._streams:
             return web.json_response({"error": "this attempt id has run"}, status=409)
         now_seconds = time.monotonic()
@@ -130,19 +130,19 @@
         chat = request.path.endswith("/chat/completions")
         stream = _Stream(attempt_id, marks, model, cached_tokens, chat)
         self._streams[attempt_id] = stream
-        self._forget_old_streams()
+        self._remove_old_streams()
         self._runs.setdefault(marks.mark, Counter())["started"] += 1
-        self._note(marks.mark)
+        self._record_start(marks.mark)
         uncached = max(0, marks.prompt_tokens - cached_tokens)
         self.batch.submit(attempt_id, uncached, marks.output_tokens, now_seconds)
         self._schedule()
-        limit = _SILENT_AFTER_EVENTS if "silent" in marks.flags else None
-        return await self._relay(request, stream, 0, limit)
+        max_events = _SILENT_AFTER_EVENTS if "silent" in marks.flags else None
+        return await self._relay(request, stream, 0, max_events)
 
     async def _resume(self, request: web.Request) -> web.StreamResponse:
-        """Go on with a stream after the last event that the reader has."""
+        """Resume a stream after the last event that the reader received."""
         attempt_id = request.match_info["attempt_id"]
-        await self._partition.wait_open(attempt_id)
+        await self._partition.wait_until_reachable(attempt_id)
         stream = self._streams.get(attempt_id)
         if stream is None:
             return web.json_response({"error": "unknown stream"}, status=404)
@@ -150,9 +150,9 @@
         return await self._relay(request, stream, position, None)
 
     async def _cancel(self, request: web.Request) -> web.StreamResponse:
-        """Stop a run; fine if it is over."""
+        """Cancel a run; a finished one is not an error."""
         attempt_id = request.match_info["attempt_id"]
-        await self._partition.wait_open(attempt_id)
+        await self._partition.wait_until_reachable(attempt_id)
         stream = self._streams.get(attempt_id)
         if stream is None:
             return web.json_response({"error": "unknown stream"}, status=404)
@@ -160,7 +160,7 @@
         if self.batch.cancel(stream.attempt_id, time.monotonic()):
             self._runs[stream.marks.mark]["cancelled"] += 1
             stream.over = True
-            stream.wake()
+            stream.notify_readers()
             self._schedule()
         return web.Response(status=204)
 
@@ -169,16 +169,16 @@
         request: web.Request,
         stream: _Stream,
         position: int,
-        limit: int | None,
+        max_events: int | None,
     ) -> web.StreamResponse:
-        """Write events from a position on until the stream is over."""
+        """Write the events from a position until the stream is over."""
         response = web.StreamResponse(headers={"Content-Type": "text/event-stream"})
         await response.prepare(request)
         while True:
             changed = stream.changed
-            await self._partition.wait_open(stream.attempt_id)
-            if limit is not None and len(stream.events) > limit:
-                await response.write(b"".join(stream.events[position:limit]))
+            await self._partition.wait_until_reachable(stream.attempt_id)
+            if max_events is not None and len(stream.events) > max_events:
+                await response.write(b"".join(stream.events[position:max_events]))
                 await asyncio.sleep(3600)
             if position < len(stream.events):
                 chunk = b"".join(stream.events[position:])
@@ -192,7 +192,7 @@
         return response
 
     def _schedule(self) -> None:
-        """Wake up when the batch has something to say next."""
+        """Set the timer to the next progress of the batch."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -202,21 +202,21 @@
             self._timer = asyncio.get_running_loop().call_later(delay, self._tick)
 
     def _tick(self) -> None:
-        """Pass on what the batch has done."""
+        """Process the progress of the batch and set the next timer."""
         self._advance()
         self._schedule()
 
     def _advance(self) -> None:
-        """Turn the batch's progress into events."""
+        """Convert the progress of the batch to events."""
         for progress in self.batch.advance(time.monotonic()):
             stream = self._streams[progress.attempt_id]
             if "crash" in stream.marks.flags:
                 os._exit(CRASH_EXIT_CODE)
             self._append(stream, progress)
-            stream.wake()
+            stream.notify_readers()
 
     def _append(self, stream: _Stream, progress: Progress) -> None:
-        """Add the events of one step of a run, and book its service."""
+        """Add the events of one step of a run, and account its service."""
         marks = stream.marks
         service = self._service.setdefault(marks.customer, Counter())
         if not stream.output_tokens:
@@ -235,7 +235,7 @@
             self._finish(stream)
 
     def _finish(self, stream: _Stream) -> None:
-        """Add the usage and the end mark."""
+        """Add the usage event and the end-of-stream event."""
         usage = {
             "prompt_tokens": stream.marks.prompt_tokens,
             "completion_tokens": stream.output_tokens,
@@ -248,16 +248,16 @@
         self._runs[stream.marks.mark]["completed"] += 1
         self._service[stream.marks.customer]["completed"] += 1
 
-    def _forget_old_streams(self) -> None:
-        """Keep only the latest streams that are over."""
-        surplus = len(self._streams) - _KEPT_STREAMS
+    def _remove_old_streams(self) -> None:
+        """Remove the oldest finished streams beyond the limit."""
+        surplus = len(self._streams) - _MAX_FINISHED_STREAMS
         if surplus > 0:
             over = [key for key, stream in self._streams.items() if stream.over]
             for key in over[:surplus]:
                 del self._streams[key]
 
     async def _report_load(self, _request: web.Request) -> web.Response:
-        """Say what the load was some time ago."""
+        """Report the load with the configured lag."""
         running, waiting, age = self._load.report(time.monotonic())
         return web.json_response(
             {
@@ -269,13 +269,13 @@
         )
 
     async def _report_cache_events(self, request: web.Request) -> web.Response:
-        """Say what was stored and evicted, late and with gaps."""
+        """Report stored and evicted prefixes, late and with gaps."""
         after = int(request.query.get("after", "0"))
         events = self._cache.events(after, time.monotonic())
         return web.json_response({"events": [asdict(event) for event in events]})
 
-    async def _take_order(self, request: web.Request) -> web.Response:
-        """Load or unload a model, or change an adapter, version or role."""
+    async def _handle_order(self, request: web.Request) -> web.Response:
+        """Load or unload a model, or set an adapter, version or role."""
         order = json.loads(await request.read())
         if order["order_id"] in self._orders:
             return web.json_response({"status": "done before"})
@@ -304,14 +304,14 @@
         return web.Response(body=self._kv.get(prefix, prefix.encode()))
 
     async def _import_kv(self, request: web.Request) -> web.Response:
-        """Take the KV cache of a prefix."""
+        """Store the KV cache of a prefix."""
         prefix = request.match_info["prefix"]
         self._kv[prefix] = await request.read()
         self._cache.store(prefix, time.monotonic())
         return web.Response(status=204)
 
     async def _report_counts(self, request: web.Request) -> web.Response:
-        """Say what ran, by customer, and by mark unless ``?marks=0``."""
+        """Report the runs by customer, and by mark unless ``?marks=0``."""
         self._tick()
         report: dict[str, Any] = {
             "kind": "model",
@@ -326,24 +326,24 @@
             report["marks"] = self._runs
         return web.json_response(report)
 
-    async def _take_faults(self, request: web.Request) -> web.Response:
-        """Take ``refuse_next``, a number, or ``cut_off``, a list of instances."""
+    async def _set_faults(self, request: web.Request) -> web.Response:
+        """Set ``refuse_next``, a number, and ``cut_off``, a list of instances."""
         faults = json.loads(await request.read())
         self._refuse_next = int(faults.get("refuse_next", 0))
-        self._partition.cut_off(faults.get("cut_off", ()))
+        self._partition.isolate(faults.get("cut_off", ()))
         return web.Response(status=204)
 
 
 def _add_event(stream: _Stream, data: dict[str, Any]) -> None:
-    """Add one server-sent event with its number."""
+    """Append one server-sent event with its number as id."""
     event = b"id: %d\ndata: %s\n\n" % (len(stream.events), encode(data))
     stream.events.append(event)
 
 
-def _not_started(why: str) -> web.Response:
-    """Return the refusal that proves that nothing was started."""
+def _make_not_started_response(reason: str) -> web.Response:
+    """Return a refusal whose header proves that nothing was started."""
     return web.json_response(
-        {"error": why}, status=503, headers={"X-Not-Started": "true"}
+        {"error": reason}, status=503, headers={"X-Not-Started": "true"}
     )
 
 
--- a/standins/engine_queue.py
+++ b/standins/engine_queue.py
@@ -1,4 +1,4 @@
-"""All engines as one queue in order of admission, and what placement says of it."""
+"""Models all engines as one FIFO queue, with a placement that reports its wait."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class EngineQueue:
-    """All engines as one queue."""
+    """One FIFO queue that stands for all engines."""
 
     tokens_per_second: float
     waiting: deque[tuple[str, int, int]] = field(default_factory=deque)
@@ -32,19 +32,19 @@
         self.waiting_tokens += tokens
 
     def start_requests(self, seconds: float) -> Iterable[tuple[str, int, int]]:
-        """Return the requests that are begun now."""
+        """Advance the time and return the requests that start in it."""
         self.credit_tokens += seconds * self.tokens_per_second
         while self.waiting and self.credit_tokens >= self.waiting[0][2]:
-            one = self.waiting.popleft()
-            self.credit_tokens -= one[2]
-            self.waiting_tokens -= one[2]
-            yield one
+            request = self.waiting.popleft()
+            self.credit_tokens -= request[2]
+            self.waiting_tokens -= request[2]
+            yield request
         if not self.waiting:
             self.credit_tokens = 0.0
 
 
 class QueuePlacement:
-    """In place of a placement: only how long prompts wait."""
+    """A placement that only reports how long prompts wait."""
 
     def __init__(self, queue: EngineQueue) -> None:
         self._queue = queue
@@ -54,7 +54,7 @@
         return self._queue.wait_seconds
 
     def loads(self, now_seconds: float) -> tuple[TargetLoad, ...]:
-        # It changes each time, so routers tell as often as they may.
+        # Changes at each call, so that routers report as often as they are allowed.
         return (TargetLoad(1, 1, int(now_seconds * 1_000)),)
 
     def flush_used_parts(self) -> tuple[UsedParts, ...]:
--- a/standins/fault_proxy.py
+++ b/standins/fault_proxy.py
@@ -1,7 +1,7 @@
-"""A small TCP proxy on loopback that does to connections what networks do.
+"""A small TCP proxy on loopback that injects network faults.
 
-It stands between two ends and forwards bytes. Each fault is set by name on the
-running proxy and counts for new connections, for old ones, or for both.
+It forwards bytes between two ends. Each fault is set by name on the running proxy and
+applies to new connections, to open ones, or to both.
 """
 
 import asyncio
@@ -15,15 +15,15 @@
 
 @dataclass(slots=True)
 class Faults:
-    """What the proxy does to bytes and connections at present.
+    """The faults that the proxy applies to bytes and connections.
 
     Attributes:
-        delay_seconds: Added to each piece of bytes, in both directions.
+        delay_seconds: Added to each chunk of bytes, in both directions.
         refuse: New connections are closed at once.
-        cut_answer_after_bytes: A connection is reset once so much of the
-            answers has passed.
-        half_close_answer_after_bytes: As above, but with an ordinary end.
-        hold_answers: Answers are kept back until it is False again.
+        cut_answer_after_bytes: A connection is reset after this many bytes of its
+            answers.
+        half_close_answer_after_bytes: As above, but with an orderly end.
+        hold_answers: Answers are held back until it is False again.
     """
 
     delay_seconds: float = 0.0
@@ -38,7 +38,7 @@
     caller: asyncio.StreamWriter
     target: asyncio.StreamWriter
     silent: bool = False
-    asked: bool = False
+    has_request: bool = False
     answered_bytes: int = 0
 
 
@@ -46,8 +46,8 @@
     """Forwards connections to one address, with faults.
 
     Args:
-        target_host: Where to forward to.
-        target_port: The port there.
+        target_host: The host to forward to.
+        target_port: The port on that host.
     """
 
     def __init__(self, target_host: str, target_port: int) -> None:
@@ -76,15 +76,15 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def silence_open_flows(self) -> int:
-        """Let all open connections go silent for good; new ones work.
+        """Silence all open connections permanently; new ones work.
 
-        Nothing is closed and no error comes: the bytes just never arrive.
+        Nothing is closed and no error is raised: the bytes never arrive.
         """
         for flow in self._flows:
             flow.silent = True
         return len(self._flows)
 
-    async def die(self) -> None:
+    async def crash(self) -> None:
         """Reset everything and refuse new connections, as a crashed target does."""
         if self._server is not None:
             self._server.close()
@@ -100,7 +100,7 @@
         return len(flows)
 
     def release_answers(self) -> None:
-        """Let the answers go that were held."""
+        """Forward the answers that were held back."""
         self.faults.hold_answers = False
         self._released.set()
         self._released = asyncio.Event()
@@ -119,13 +119,17 @@
             return
         flow = _Flow(writer, target_writer)
         self._flows.append(flow)
-        there = self._spawn(self._copy(reader, target_writer, flow, self._pass_request))
-        back = self._spawn(self._copy(target_reader, writer, flow, self._pass_answer))
+        request_task = self._spawn(
+            self._copy(reader, target_writer, flow, self._forward_request)
+        )
+        answer_task = self._spawn(
+            self._copy(target_reader, writer, flow, self._forward_answer)
+        )
         try:
-            await asyncio.wait([there, back])
+            await asyncio.wait([request_task, answer_task])
         except asyncio.CancelledError:
-            # The loop is closing with flows that are silent; asyncio's own callback
-            # would print the cancellation of each.
+            # The loop closes while flows are silent; asyncio's own callback would
+            # print the cancellation of each.
             return
         finally:
             self._flows.remove(flow)
@@ -143,33 +147,33 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         flow: _Flow,
-        pass_on: Callable[[asyncio.StreamWriter, _Flow, bytes], Awaitable[bool]],
+        forward: Callable[[asyncio.StreamWriter, _Flow, bytes], Awaitable[bool]],
     ) -> None:
-        """Copy one direction until its end; a silent flow swallows everything."""
+        """Copy one direction until its end; a silent flow discards all bytes."""
         with suppress(OSError):
             while data := await reader.read(READ_BYTES):
                 if flow.silent:
                     continue
                 if self.faults.delay_seconds:
                     await asyncio.sleep(self.faults.delay_seconds)
-                if not await pass_on(writer, flow, data):
+                if not await forward(writer, flow, data):
                     return
             if not flow.silent and writer.can_write_eof():
                 writer.write_eof()
         if flow.silent:
             await asyncio.Event().wait()
 
-    async def _pass_request(
+    async def _forward_request(
         self, writer: asyncio.StreamWriter, flow: _Flow, data: bytes
     ) -> bool:
-        if not flow.asked:
-            flow.asked = True
+        if not flow.has_request:
+            flow.has_request = True
             self.requests_at_seconds.append(monotonic())
         writer.write(data)
         await writer.drain()
         return True
 
-    async def _pass_answer(
+    async def _forward_answer(
         self, writer: asyncio.StreamWriter, flow: _Flow, data: bytes
     ) -> bool:
         while self.faults.hold_answers:
@@ -183,14 +187,14 @@
         limit = min((bound for bound in limits if bound is not None), default=None)
         if limit is not None and flow.answered_bytes + len(data) > limit:
             writer.write(data[: limit - flow.answered_bytes])
-            await self._end_early(writer, flow)
+            await self._cut_answer(writer, flow)
             return False
         flow.answered_bytes += len(data)
         writer.write(data)
         await writer.drain()
         return True
 
-    async def _end_early(self, writer: asyncio.StreamWriter, flow: _Flow) -> None:
+    async def _cut_answer(self, writer: asyncio.StreamWriter, flow: _Flow) -> None:
         await writer.drain()
         if self.faults.cut_answer_after_bytes is not None:
             writer.transport.abort()
--- a/standins/marks.py
+++ b/standins/marks.py
@@ -1,7 +1,7 @@
-"""Marks in a prompt or query that tell a stand-in what to do, and answers to them.
+"""Marks in a prompt that control a stand-in, and the answers to marked requests.
 
 ``#tokens=37`` sets the number of output tokens, ``#mark=abc`` names the request in
-counts and in every token of the answer, ``#customer=c1`` books its service,
+counts and in every token of the answer, ``#customer=c1`` accounts its service,
 ``#crash`` ends the engine once the request runs, ``#refuse`` answers "not started",
 ``#silent`` sends the first events and then nothing on that connection.
 """
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Marks:
-    """What a request says of itself to a stand-in."""
+    """The marks of one request."""
 
     mark: str
     customer: str
@@ -50,7 +50,7 @@
 
     Args:
         prompt: The whole prompt.
-        max_tokens: The field of the request, used where no mark says otherwise.
+        max_tokens: The field of the request, used if no mark sets the tokens.
 
     Returns:
         The marks.
@@ -70,7 +70,7 @@
 def answer_text(mark: str, start: int, end: int) -> str:
     """Return the tokens from start to end of the answer to a marked request.
 
-    Every token carries the request's name, so that a single token from another
-    answer is seen.
+    Every token carries the request's name, so that a single token from another answer
+    is detected.
     """
     return "".join(f"{mark}:{position} " for position in range(start, end))
--- a/standins/service.py
+++ b/standins/service.py
@@ -3,8 +3,8 @@
 ``python -m standins.service --port 9101 --target-id s1 --data-centre a --serves x``
 
 It echoes each call. The query or a JSON body may hold ``mark`` (the name of the call
-in the counts), ``customer`` (who is booked for its time) and ``delay`` in seconds.
-``POST .../mailing`` sends a mailing, which nobody wants twice.
+in the counts), ``customer`` (whose service the time is counted as) and ``delay`` in
+seconds. ``POST .../mailing`` sends a mailing, which must not be sent twice.
 """
 
 import asyncio
@@ -25,13 +25,13 @@
 
 
 class Service:
-    """The HTTP shell of a plain service and its counts."""
+    """The HTTP interface of a plain service and its counts."""
 
     def __init__(self, options: Namespace) -> None:
         self._capacity_slots = options.capacity
         self._slots = asyncio.Semaphore(options.capacity)
         self._waiting_limit = options.waiting_limit
-        self._note = open_journal(options)
+        self._record_start = open_journal(options)
         self._waiting = 0
         self._running: dict[int, float] = {}
         self._busy_slot_seconds = 0.0
@@ -45,7 +45,7 @@
         """Return the HTTP application."""
         app = web.Application(client_max_size=64_000_000)
         app.router.add_get("/counts", self._report_counts)
-        app.router.add_post("/faults", self._take_faults)
+        app.router.add_post("/faults", self._set_faults)
         app.router.add_route("*", "/{path:.*}", self._call)
         return app
 
@@ -54,11 +54,11 @@
         return bool(self._running or self._waiting)
 
     async def _call(self, request: web.Request) -> web.Response:
-        """Answer one call with what it said."""
+        """Echo one call."""
         attempt_id = request.headers.get("X-Attempt-Id", "")
-        await self._partition.wait_open(attempt_id)
+        await self._partition.wait_until_reachable(attempt_id)
         body = await request.read()
-        fields = {**_fields_of(body), **request.query}
+        fields = {**_read_json_fields(body), **request.query}
         if self._refuse_next or self._waiting >= self._waiting_limit:
             self._refuse_next = max(0, self._refuse_next - 1)
             return web.json_response(
@@ -69,7 +69,7 @@
             os._exit(CRASH_EXIT_CODE)
         calls = self._calls.setdefault(mark, Counter())
         calls["started"] += 1
-        self._note(mark)
+        self._record_start(mark)
         self._waiting += 1
         try:
             await self._slots.acquire()
@@ -89,7 +89,7 @@
             self._busy_slot_seconds += elapsed
             service = self._service.setdefault(customer, Counter())
             service["service_microseconds"] += round(elapsed * 1e6)
-        await self._partition.wait_open(attempt_id)
+        await self._partition.wait_until_reachable(attempt_id)
         calls["completed"] += 1
         service["completed"] += 1
         return web.json_response(
@@ -103,13 +103,15 @@
         )
 
     async def _report_counts(self, request: web.Request) -> web.Response:
-        """Say what ran, by customer, and by mark unless ``?marks=0``."""
+        """Report the calls by customer, and by mark unless ``?marks=0``."""
         now_seconds = time.monotonic()
-        present = sum(now_seconds - since for since in self._running.values())
+        running_seconds = sum(
+            now_seconds - started_seconds for started_seconds in self._running.values()
+        )
         report: dict[str, Any] = {
             "kind": "service",
             "capacity_slots": self._capacity_slots,
-            "busy_slot_seconds": self._busy_slot_seconds + present,
+            "busy_slot_seconds": self._busy_slot_seconds + running_seconds,
             "running": len(self._running),
             "waiting": self._waiting,
             "service": self._service,
@@ -119,16 +121,16 @@
             report["marks"] = self._calls
         return web.json_response(report)
 
-    async def _take_faults(self, request: web.Request) -> web.Response:
-        """Take ``refuse_next``, a number, or ``cut_off``, a list of instances."""
+    async def _set_faults(self, request: web.Request) -> web.Response:
+        """Set ``refuse_next``, a number, and ``cut_off``, a list of instances."""
         faults = json.loads(await request.read())
         self._refuse_next = int(faults.get("refuse_next", 0))
-        self._partition.cut_off(faults.get("cut_off", ()))
+        self._partition.isolate(faults.get("cut_off", ()))
         return web.Response(status=204)
 
 
-def _fields_of(body: bytes) -> Mapping[str, Any]:
-    """Return the fields of a JSON body, or none."""
+def _read_json_fields(body: bytes) -> Mapping[str, Any]:
+    """Return the fields of a JSON object, or an empty mapping for other bodies."""
     try:
         fields = json.loads(body)
     except ValueError:
--- a/standins/shell.py
+++ b/standins/shell.py
@@ -1,4 +1,4 @@
-"""What both stand-ins share: arguments, serving, announcing and a graceful stop."""
+"""Shared parts of both stand-ins: arguments, serving, announcing, graceful stop."""
 
 import asyncio
 import logging
@@ -12,7 +12,7 @@
 
 from standins.announce import Announcement, Announcer
 
-_STOP_SECONDS = 30.0
+_STOP_TIMEOUT_SECONDS = 30.0
 _POLL_SECONDS = 0.05
 
 
@@ -33,20 +33,20 @@
 
 
 def open_journal(options: Namespace) -> Callable[[str], None]:
-    """Return a function that notes a mark for good, also over a kill.
+    """Return a function that records a mark so that it survives a kill.
 
-    The counts of a stand-in die with it. What it wrote to a file before it began to
-    work stays, so that a run that was killed still counts as one.
+    The counts of a stand-in are lost when its process ends. A mark that was written to
+    a file before the work started stays, so that a killed run is still counted.
     """
     name = getattr(options, "journal", "")
     if not name:
         return lambda mark: None
-    file = os.open(name, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644)
+    descriptor = os.open(name, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644)
 
-    def note(mark: str) -> None:
-        os.write(file, f"{mark}\n".encode())
+    def record_start(mark: str) -> None:
+        os.write(descriptor, f"{mark}\n".encode())
 
-    return note
+    return record_start
 
 
 def run_target(
@@ -56,14 +56,14 @@
     app: web.Application,
     is_busy: Callable[[], bool],
 ) -> None:
-    """Serve until SIGTERM, then leave, finish what runs and return.
+    """Serve until SIGTERM, then leave, finish the running requests and return.
 
     Args:
         options: The parsed arguments of `make_parser`.
         kind: ``model`` or ``service``.
         serves: Names of the models or services.
         app: The HTTP application.
-        is_busy: Says whether something still runs.
+        is_busy: Returns whether a request still runs or waits.
     """
     import uvloop
 
@@ -98,12 +98,12 @@
     )
     announcer = Announcer(announcement, options.announce, options.platform_key)
     async with ClientSession() as session:
-        announcing = asyncio.create_task(announcer.run(session))
+        announce_task = asyncio.create_task(announcer.run(session))
         await stopping.wait()
-        announcing.cancel()
-        await asyncio.gather(announcing, return_exceptions=True)
+        announce_task.cancel()
+        await asyncio.gather(announce_task, return_exceptions=True)
         await announcer.leave(session)
-    give_up_at = time.monotonic() + _STOP_SECONDS
-    while is_busy() and time.monotonic() < give_up_at:
+    deadline_seconds = time.monotonic() + _STOP_TIMEOUT_SECONDS
+    while is_busy() and time.monotonic() < deadline_seconds:
         await asyncio.sleep(_POLL_SECONDS)
     await runner.cleanup()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -284,14 +284,14 @@
     async with open_world() as world:
         service, first = await world.add_service("s1")
         _, second = await world.add_service("s2")
-        await first.proxy.die()
+        await first.proxy.crash()
         router = world.routers[0]
         for number in range(6):
             url = f"/services/roster/mailing?mark=m{number}"
             answer = await router.client.post(url, headers=GOOD_KEY)
             assert answer.headers["Sesameford-Outcome"] == "ran"
         assert not service._calls
-        await second.proxy.die()
+        await second.proxy.crash()
         url = "/services/roster/mailing?mark=last"
         headers = {**GOOD_KEY, "Sesameford-Deadline-Seconds": "0.5"}
         answer = await router.client.post(url, headers=headers)
@@ -306,7 +306,7 @@
 
         async def crash(http):
             ran.append(http.path)
-            await world.targets[0].proxy.die()
+            await world.targets[0].proxy.crash()
             return web.Response()
 
         await world.add_handler("only", crash)
@@ -336,7 +336,7 @@
                     target.proxy.faults.refuse = True
                     target.proxy.reset_all()
                 else:
-                    await target.proxy.die()
+                    await target.proxy.crash()
             await asyncio.sleep(0.1)
             return web.Response(text=http.query.get("mark"))
 
