--- a/standins/platform_fleet.py
+++ b/standins/platform_fleet.py
@@ -1,7 +1,7 @@
 """A deployment of the platform on loopback: the real programs, servers, an operator.
 
-Each process has an IP number of its own and a settings file, as on the platform. What
-happens to processes happens from outside, by signals and by their disk folders.
+Each process has its own IP number and settings file, as on the platform. Processes are
+controlled from outside only, by signals and through their disk folders.
 """
 
 import asyncio
@@ -28,9 +28,9 @@
 FRONT_PORT = 8783
 READY_PORT = 8780
 REPLICAS = 3
-# Servers stand in them by turns; all processes are in the first.
+# Servers are spread over them in turn; all processes are in the first.
 DATA_CENTRES = ("a", "b")
-BEAT_SECONDS = 0.4
+HEARTBEAT_SECONDS = 0.4
 HOST = "desk.example"
 KEY = "the-clubs-key"
 CONTROL_TIMEOUT_SECONDS = 1.0
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class Program:
-    """One process and where it listens; ``starts`` counts its incarnations."""
+    """One process and its addresses; ``starts`` counts its incarnations."""
 
     name: str
     role: str
@@ -47,28 +47,28 @@
     folder: Path
     process: asyncio.subprocess.Process | None = None
     starts: int = 0
-    asked_to_end: bool = False
+    is_end_requested: bool = False
 
     @property
     def front(self) -> str:
-        """Return where a router takes callers."""
+        """Return the address at which a router serves callers."""
         return f"{self.ip}:{FRONT_PORT}"
 
     @property
     def ready(self) -> str:
-        """Return where a router says whether it takes callers."""
+        """Return the address of a router's readiness probe."""
         return f"{self.ip}:{READY_PORT}"
 
     @property
     def control(self) -> str:
-        """Return where a replica takes heartbeats and configurations."""
+        """Return the address for a replica's heartbeats and configurations."""
         return f"{self.ip}:{CONTROL_PORT}"
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal, if the process still runs.
+        """Send a signal if the process still runs.
 
-        By a descriptor of the process: the library's own way waits for its end at the
-        same time, and takes the exit code from whoever is to see it.
+        The signal goes through a pidfd: the library's own method also reaps the
+        process, and the exit code is lost for the task that waits for it.
         """
         if self.process is None or self.process.returncode is not None:
             return
@@ -81,8 +81,8 @@
 
 
 @dataclass(slots=True)
-class BeatingServer:
-    """A server behind a proxy, and its heartbeats."""
+class HeartbeatServer:
+    """A server behind a proxy and the state of its heartbeats."""
 
     server: PlatformServer
     proxy: FaultProxy
@@ -95,18 +95,21 @@
 
 @dataclass(slots=True)
 class PlatformFleet:
-    """Processes, servers and the operator of one deployment."""
+    """Processes, servers and the operator of one deployment.
+
+    ``unplanned_exits`` lists the processes that ended without a request to do so.
+    """
 
     folder: Path
     net: int
     session: ClientSession
     routers: list[Program] = field(default_factory=list)
     replicas: list[Program] = field(default_factory=list)
-    servers: list[BeatingServer] = field(default_factory=list)
-    ended_by_itself: list[str] = field(default_factory=list)
+    servers: list[HeartbeatServer] = field(default_factory=list)
+    unplanned_exits: list[str] = field(default_factory=list)
     is_new: bool = True
-    _beats: dict[str, asyncio.Task[None]] = field(default_factory=dict)
-    _watches: set[asyncio.Task[None]] = field(default_factory=set)
+    _heartbeat_tasks: dict[str, asyncio.Task[None]] = field(default_factory=dict)
+    _watch_tasks: set[asyncio.Task[None]] = field(default_factory=set)
     _server_number: int = 0
 
     @property
@@ -123,7 +126,7 @@
         return program
 
     async def start(self, program: Program) -> None:
-        """Start a process with the settings that are right now."""
+        """Start a process with the current settings."""
         program.folder.mkdir(parents=True, exist_ok=True)
         self.write_settings(program)
         environment = {
@@ -132,7 +135,7 @@
             "SESAMEFORD_CONFIG": str(program.folder / "boot.toml"),
         }
         program.starts += 1
-        program.asked_to_end = False
+        program.is_end_requested = False
         with (program.folder / f"{program.starts}.log").open("wb") as log:
             program.process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -143,20 +146,24 @@
                 stdout=log,
                 stderr=log,
             )
-        watch = asyncio.create_task(self._watch(program, program.process))
-        self._watches.add(watch)
-        watch.add_done_callback(self._watches.discard)
+        watch = asyncio.create_task(
+            self._record_unplanned_exit(program, program.process)
+        )
+        self._watch_tasks.add(watch)
+        watch.add_done_callback(self._watch_tasks.discard)
 
-    async def _watch(
+    async def _record_unplanned_exit(
         self, program: Program, process: asyncio.subprocess.Process
     ) -> None:
         code = await process.wait()
-        if not program.asked_to_end:
-            self.ended_by_itself.append(f"{program.name} ended with {code}")
+        if not program.is_end_requested:
+            self.unplanned_exits.append(f"{program.name} ended with {code}")
 
     def write_settings(self, program: Program, seeds: list[str] | None = None) -> None:
         """Write the settings file of a process."""
-        known = seeds or [one.control for one in self.replicas[:REPLICAS]]
+        seed_addresses = seeds or [
+            replica.control for replica in self.replicas[:REPLICAS]
+        ]
         listen = {"control": program.control}
         if program.role == "router":
             listen = {"front": program.front, "ready": program.ready}
@@ -166,9 +173,9 @@
             f'ip = "{program.ip}"',
             f'zone = "{DATA_CENTRES[0]}"',
             f"internal_port_range = [{LINKS_PORT}, {METRICS_PORT}]",
-            f"seeds = {json.dumps(known)}",
+            f"seeds = {json.dumps(seed_addresses)}",
             f"bootstrap = {str(self.is_new).lower()}",
-            f"heartbeat_interval_ms = {BEAT_SECONDS * 1000:.0f}",
+            f"heartbeat_interval_ms = {HEARTBEAT_SECONDS * 1000:.0f}",
         ]
         if program.role == "replica":
             lines.append(f'data_dir = "{program.folder / "data"}"')
@@ -179,83 +186,89 @@
         (program.folder / "boot.toml").write_text("\n".join(lines) + "\n")
 
     async def kill(self, program: Program, lose_disk: bool = False) -> None:
-        """End a process at once, with its disk if asked."""
-        program.asked_to_end = True
+        """Kill a process, and remove its disk if requested."""
+        program.is_end_requested = True
         program.signal(signal.SIGKILL)
-        await self._ended(program)
+        await self._wait_for_exit(program)
         if lose_disk:
             shutil.rmtree(program.folder / "data", ignore_errors=True)
 
     async def stop(self, program: Program) -> int | None:
-        """End a process as planned; return its exit code, None if it was killed."""
-        program.asked_to_end = True
+        """Stop a process gracefully; return its exit code, None if it was killed."""
+        program.is_end_requested = True
         program.signal(signal.SIGTERM)
         try:
             async with asyncio.timeout(STOP_SECONDS):
-                return await self._ended(program)
+                return await self._wait_for_exit(program)
         except TimeoutError:
             await self.kill(program)
             return None
 
-    async def _ended(self, program: Program) -> int:
+    async def _wait_for_exit(self, program: Program) -> int:
         assert program.process is not None
         return await program.process.wait()
 
-    async def add_server(self) -> BeatingServer:
-        """Start a server behind a proxy; it announces itself from now on."""
+    async def add_server(self) -> HeartbeatServer:
+        """Start a server behind a proxy, and its heartbeats."""
         self._server_number += 1
         server = make_platform_server(f"i-{self._server_number}")
         await server.start()
         host, _, port = server.address.rpartition(":")
         proxy = FaultProxy(host, int(port))
         proxy_port = await proxy.start()
-        place = DATA_CENTRES[self._server_number % len(DATA_CENTRES)]
-        one = BeatingServer(server, proxy, f"127.0.0.1:{proxy_port}", place)
-        self.servers.append(one)
-        self._beats[server.target_id] = asyncio.create_task(self._beat(one))
-        return one
-
-    async def crash_server(self, one: BeatingServer) -> None:
-        """End a server without a word."""
-        self.servers.remove(one)
-        self._beats.pop(one.server.target_id).cancel()
-        await one.proxy.stop()
-        await one.server.stop()
-
-    async def drain_server(self, one: BeatingServer) -> bool:
-        """Let a server say that it drains; return whether that was acknowledged."""
-        one.state = "draining"
+        data_centre = DATA_CENTRES[self._server_number % len(DATA_CENTRES)]
+        heartbeat_server = HeartbeatServer(
+            server, proxy, f"127.0.0.1:{proxy_port}", data_centre
+        )
+        self.servers.append(heartbeat_server)
+        self._heartbeat_tasks[server.target_id] = asyncio.create_task(
+            self._send_heartbeats(heartbeat_server)
+        )
+        return heartbeat_server
+
+    async def crash_server(self, heartbeat_server: HeartbeatServer) -> None:
+        """Stop a server and its heartbeats without a drain."""
+        self.servers.remove(heartbeat_server)
+        self._heartbeat_tasks.pop(heartbeat_server.server.target_id).cancel()
+        await heartbeat_server.proxy.stop()
+        await heartbeat_server.server.stop()
+
+    async def drain_server(self, heartbeat_server: HeartbeatServer) -> bool:
+        """Announce that a server drains; return whether that was acknowledged."""
+        heartbeat_server.state = "draining"
         for _ in range(10):
-            if await self._tell(one):
-                one.drained_at_seconds = monotonic()
+            if await self._send_heartbeat(heartbeat_server):
+                heartbeat_server.drained_at_seconds = monotonic()
                 return True
         return False
 
-    async def _beat(self, one: BeatingServer) -> None:
+    async def _send_heartbeats(self, heartbeat_server: HeartbeatServer) -> None:
         while True:
-            await self._tell(one)
-            await asyncio.sleep(BEAT_SECONDS)
+            await self._send_heartbeat(heartbeat_server)
+            await asyncio.sleep(HEARTBEAT_SECONDS)
 
-    async def _tell(self, one: BeatingServer) -> bool:
-        one.sequence += 1
+    async def _send_heartbeat(self, heartbeat_server: HeartbeatServer) -> bool:
+        heartbeat_server.sequence += 1
         body = {
             "service": "pool",
-            "address": one.address,
-            "zone": one.data_centre,
+            "address": heartbeat_server.address,
+            "zone": heartbeat_server.data_centre,
             "version": "v1",
             "slots": 16,
-            "state": one.state,
-            "sequence": one.sequence,
+            "state": heartbeat_server.state,
+            "sequence": heartbeat_server.sequence,
         }
-        path = f"/v1/instances/{one.server.target_id}"
-        for replica in self.replicas[one.sequence % REPLICAS :] + self.replicas:
+        path = f"/v1/instances/{heartbeat_server.server.target_id}"
+        for replica in (
+            self.replicas[heartbeat_server.sequence % REPLICAS :] + self.replicas
+        ):
             status, _ = await self.call(replica.control, "PUT", path, body)
             if status == 200:
                 return True
         return False
 
     async def declare(self, replica: Program, version: int, added: bool) -> int:
-        """Send a configuration; return the status, 0 where no answer came."""
+        """Send a configuration; return the status, 0 if no answer arrived."""
         body = _configuration(version, added)
         status, _ = await self.call(replica.control, "PUT", "/v1/config", body)
         return status
@@ -263,25 +276,25 @@
     async def evacuate(
         self, replica: Program, data_centre: str, evacuated: bool
     ) -> int:
-        """Order a data centre to be evacuated, or restored; return the status."""
+        """Order a data centre to be evacuated or restored; return the status."""
         method = "POST" if evacuated else "DELETE"
         path = f"/v1/evacuations/{data_centre}"
         return (await self.call(replica.control, method, path))[0]
 
     async def declared_version(self, replica: Program) -> int | None:
-        """Return the version that a replica reads back, None where it has none."""
+        """Return the version that a replica reads back, None if it has none."""
         status, text = await self.call(replica.control, "GET", "/v1/config")
         return json.loads(text)["version"] if status == 200 else None
 
     async def is_ready(self, router: Program) -> bool:
-        """Return whether a router says that it takes callers."""
+        """Return whether a router reports that it serves callers."""
         status, _ = await self.call(router.ready, "GET", "/v1/readiness")
         return status == 200
 
     async def call(
         self, address: str, method: str, path: str, body: Any = None
     ) -> tuple[int, bytes]:
-        """Call an address of a process; status 0 stands for no answer."""
+        """Call an address of a process; status 0 means no answer."""
         try:
             async with self.session.request(
                 method,
@@ -291,20 +304,20 @@
             ) as answer:
                 return answer.status, await answer.read()
         except (ClientError, OSError, TimeoutError):
-            # No answer is an outcome that callers of this count, not an error.
+            # No answer is an outcome that the callers of this method count.
             return 0, b""
 
     async def close(self) -> None:
-        """End all that was started, by its id."""
-        for task in self._beats.values():
+        """Stop all tasks, processes and servers that this fleet started."""
+        for task in self._heartbeat_tasks.values():
             task.cancel()
         for program in self.programs:
             if program.process is not None and program.process.returncode is None:
                 program.signal(signal.SIGCONT)
                 await self.kill(program)
-        for one in self.servers:
-            await one.proxy.stop()
-            await one.server.stop()
+        for heartbeat_server in self.servers:
+            await heartbeat_server.proxy.stop()
+            await heartbeat_server.server.stop()
 
 
 def request_headers(request_id: str, deadline_seconds: float) -> dict[str, str]:
@@ -341,10 +354,10 @@
     return {
         "version": version,
         "routes": [
-            {**route, **one, "max_attempts": 2}
-            if one["route_type"] == "safe" or one.get("stream_resume")
-            else {**route, **one}
-            for one in routes
+            {**route, **fields, "max_attempts": 2}
+            if fields["route_type"] == "safe" or fields.get("stream_resume")
+            else {**route, **fields}
+            for fields in routes
         ],
         "services": [{"name": "pool", "health_path": "/health"}],
         "limits": {},
@@ -358,8 +371,8 @@
     """Return a deployment without processes.
 
     Args:
-        folder: For settings, disks and logs.
+        folder: The folder for settings, disks and logs.
         net: The second number of all IP numbers, 1 to 254.
-        session: For calls to control.
+        session: The session for calls to control addresses.
     """
     return PlatformFleet(folder, net, session)
--- a/standins/platform_server.py
+++ b/standins/platform_server.py
@@ -1,7 +1,7 @@
-"""A stand-in for a server of the users' platform: answers calls, misbehaves on demand.
+"""A stand-in for a server of the users' platform that answers calls or injects faults.
 
-It writes its answers byte by byte, since the faults are about framing: answers that
-come twice, without a length, cut short, or from another server.
+It writes raw bytes to the connection, because the faults concern framing: answers that
+arrive twice, without a length, truncated, or from another server.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 
 class Fault(StrEnum):
-    """How a server treats the next calls."""
+    """The fault that a server applies to the next calls."""
 
     NONE = "none"
     TWICE = "answers twice"
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class ReceivedCall:
-    """A call as it reached the server."""
+    """A call as the server received it."""
 
     method: str
     target: str
@@ -42,9 +42,10 @@
 
 @dataclass(slots=True)
 class PlatformServer:
-    """One incarnation of a server; ``runs`` counts by the call's id.
+    """One incarnation of a server; ``runs`` counts executions by request id.
 
-    It works for ``pause_seconds`` before an answer and before each event.
+    It waits ``pause_seconds`` before an answer and before each event.
+    ``peer_disconnects`` counts connections that the other side closed.
     """
 
     target_id: str
@@ -61,7 +62,7 @@
     _writers: set[asyncio.StreamWriter] = field(default_factory=set)
 
     async def start(self, host: str = "127.0.0.1") -> None:
-        """Listen on a port of the system's choice."""
+        """Listen on a free port that the system selects."""
         self._server = await asyncio.start_server(self._serve, host, 0)
         port = self._server.sockets[0].getsockname()[1]
         self.address = f"{host}:{port}"
@@ -87,8 +88,8 @@
         except (asyncio.IncompleteReadError, ConnectionError):
             self.peer_disconnects += 1
         except asyncio.CancelledError:
-            # The loop ends while it works. Passed on, the library would print a
-            # traceback for each connection.
+            # The loop closes while a call runs. If this were raised again, the library
+            # would print a traceback for each connection.
             return
         finally:
             self._writers.discard(writer)
@@ -100,7 +101,7 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
-        """Answer one call; False ends the connection."""
+        """Answer one call; return False to close the connection."""
         request_id = call.headers["x-sesameford-attempt-id"]
         if call.headers.get("x-sesameford-expect-instance") != self.target_id:
             writer.write(_head(421, request_id, {"Content-Length": "0"}))
@@ -132,7 +133,7 @@
             writer.write(_head(status, request_id, {"Connection": "close"}) + body)
             await writer.drain()
             if self.fault is Fault.UNFRAMED_RESET:
-                # Long enough for the first part to be read, as on a real network.
+                # Gives the peer time to read the first part, as on a real network.
                 await asyncio.sleep(0.05)
                 _reset(writer)
             return False
@@ -140,7 +141,7 @@
         writer.write(answer)
         await writer.drain()
         if self.fault is Fault.TWICE:
-            # So late that the connection lies idle when the second answer comes.
+            # Late enough that the connection is idle when the second answer arrives.
             await asyncio.sleep(0.02)
             writer.write(answer)
             await writer.drain()
@@ -171,10 +172,10 @@
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    """Close a connection by a reset, not in order."""
-    at_once = struct.pack("ii", 1, 0)
+    """Close a connection with a TCP reset instead of an orderly end."""
+    zero_linger = struct.pack("ii", 1, 0)
     connection = writer.get_extra_info("socket")
-    connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, at_once)
+    connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, zero_linger)
     writer.transport.abort()
 
 
--- a/tests/test_platform_soak.py
+++ b/tests/test_platform_soak.py
@@ -58,7 +58,7 @@
             await until_signal_is("SigIgn", Signals.SIGHUP, router)
             router.signal(Signals.SIGHUP)
             await until_signal_is("SigCgt", Signals.SIGTERM, router)
-            return await fleet.stop(router), fleet.ended_by_itself
+            return await fleet.stop(router), fleet.unplanned_exits
 
     assert asyncio.run(start_and_signal()) == (0, [])
 
@@ -92,7 +92,7 @@
 
 
 class Fleet:
-    ended_by_itself: tuple[str, ...] = ()
+    unplanned_exits: tuple[str, ...] = ()
 
 
 class Server:
--- a/tools/platform_soak.py
+++ b/tools/platform_soak.py
@@ -28,7 +28,7 @@
     DATA_CENTRES,
     REPLICAS,
     ROOT,
-    BeatingServer,
+    HeartbeatServer,
     PlatformFleet,
     Program,
     make_platform_fleet,
@@ -196,7 +196,7 @@
                     await self.fleet.start(replica)
                 await asyncio.sleep(4.0)
 
-    def _server(self) -> BeatingServer | None:
+    def _server(self) -> HeartbeatServer | None:
         ready = [one for one in self.fleet.servers if one.state == "ready"]
         return self._random.choice(ready) if len(ready) > 2 else None
 
--- a/tools/platform_soak_verdict.py
+++ b/tools/platform_soak_verdict.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from time import monotonic
 
-from standins.platform_fleet import BeatingServer, PlatformFleet
+from standins.platform_fleet import HeartbeatServer, PlatformFleet
 
 # A configuration is in force everywhere within seconds of its acknowledgement.
 IN_FORCE_SECONDS = 3.0
@@ -61,7 +61,7 @@
     """Everything that one seed showed."""
 
     sent: list[Sent] = field(default_factory=list)
-    servers: list[BeatingServer] = field(default_factory=list)
+    servers: list[HeartbeatServer] = field(default_factory=list)
     faults: list[Span] = field(default_factory=list)
     stops: list[Span] = field(default_factory=list)
     busy: set[str] = field(default_factory=set)
@@ -140,7 +140,7 @@
     found: list[str] = []
     for sent in records.sent:
         found.extend(_of_request(sent, runs[sent.request_id], records))
-    found.extend(f"{one} by itself" for one in fleet.ended_by_itself)
+    found.extend(f"{one} by itself" for one in fleet.unplanned_exits)
     found.extend(f"{name} is never ready" for name in records.never_ready)
     found.extend(f"change {one} refused" for one in records.refused_changes)
     found.extend(
