--- a/tests/test_platform_soak.py
+++ b/tests/test_platform_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded run of the soak with the real programs, and its own checks."""
+"""A short seeded run of the soak with the real programs, and tests of its checks."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -9,25 +9,25 @@
 from aiohttp import ClientSession
 
 from standins.platform_fleet import make_platform_fleet
-from tools.platform_soak import play
-from tools.platform_soak_verdict import Records, Sent, Span, findings
+from tools.platform_soak import run_seed
+from tools.platform_soak_verdict import Records, SentRequest, Span, findings
 
 SEEDS = (3,)
-# Each seed that ever failed, its seconds and its cause; played by `make platform-soak`
-# with SEEDS, because each takes half a minute.
-# 5 and 8, 15 s: SIGHUP ended a router that was still loading its modules, and 8 again,
-# one that had stopped as planned and was about to exit; the tests of signals in the
-# first and the last moment below are the short forms.
+# Seeds that failed before, with their duration and cause. `make platform-soak` with
+# SEEDS runs them, because each takes half a minute.
+# 5 and 8, 15 s: SIGHUP ended a router that was still importing its modules. 8 also: it
+# ended a router at the exit of a planned stop. The two tests of SIGHUP below are the
+# short forms.
 SECONDS = 5.0
 
 
-async def until_signal_is(treatment, number, program):
+async def wait_until_signal_is(mask_name, number, program):
     """Wait until a process ignores (SigIgn) or handles (SigCgt) a signal."""
     file = Path(f"/proc/{program.process.pid}/status")
     async with asyncio.timeout(20.0):
         while True:
             lines = file.read_text().split("\n")
-            mask = next(line for line in lines if line.startswith(treatment))
+            mask = next(line for line in lines if line.startswith(mask_name))
             if int(mask.split()[1], 16) >> (number - 1) & 1:
                 return
             await asyncio.sleep(0.005)
@@ -35,7 +35,7 @@
 
 @asynccontextmanager
 async def started_router(folder, net):
-    """Start a router process that has no peers, and end it afterwards."""
+    """Start a router process without peers, and end it afterwards."""
     async with ClientSession() as session:
         fleet = make_platform_fleet(folder, net, session)
         router = fleet.add("router", 1)
@@ -46,33 +46,33 @@
             await fleet.close()
 
 
-def test_a_signal_in_the_first_moment_does_not_end_a_process(tmp_path):
-    """The settings change while a process still loads its modules.
+def test_sighup_during_startup_does_not_end_a_process(tmp_path):
+    """The settings change while a process still imports its modules.
 
-    The signal that tells of it would end the process; callers would find nobody at
-    that address until it is started again.
+    The default action of SIGHUP would end the process, and its address would refuse
+    callers until it is restarted.
     """
 
     async def start_and_signal():
         async with started_router(tmp_path, 241) as (fleet, router):
-            await until_signal_is("SigIgn", Signals.SIGHUP, router)
+            await wait_until_signal_is("SigIgn", Signals.SIGHUP, router)
             router.signal(Signals.SIGHUP)
-            await until_signal_is("SigCgt", Signals.SIGTERM, router)
+            await wait_until_signal_is("SigCgt", Signals.SIGTERM, router)
             return await fleet.stop(router), fleet.unplanned_exits
 
     assert asyncio.run(start_and_signal()) == (0, [])
 
 
-def test_signals_in_the_last_moment_don_t_spoil_a_planned_stop(tmp_path):
-    """The settings change again and again while a process stops as planned.
+def test_sighup_during_a_planned_stop_does_not_change_its_exit_code(tmp_path):
+    """The settings change repeatedly while a process stops as planned.
 
-    Ended by the signal, it would look like one that failed, and an operator would
-    look for a fault that is none.
+    A process that the signal ends would look like a failed one, and an operator would
+    search for a fault that doesn't exist.
     """
 
     async def stop_under_signals():
         async with started_router(tmp_path, 242) as (fleet, router):
-            await until_signal_is("SigCgt", Signals.SIGHUP, router)
+            await wait_until_signal_is("SigCgt", Signals.SIGHUP, router)
             stop = asyncio.create_task(fleet.stop(router))
             while not stop.done():
                 router.signal(Signals.SIGHUP)
@@ -84,80 +84,86 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_promise_is_broken_under_the_faults_of_a_seed(seed):
-    """Processes, servers and connections fail one over the other, as drawn by a seed.
+    """Processes, servers and connections fail at overlapping times drawn from a seed.
 
-    Callers would see doubled, crossed or cut answers, or a refusal of work that ran.
+    Callers would get duplicate, mixed-up or truncated answers, or a refusal of a
+    request that ran.
     """
-    assert asyncio.run(play(seed, SECONDS, 240)) == []
+    assert asyncio.run(run_seed(seed, SECONDS, 240)) == []
 
 
-class Fleet:
+class FakeFleet:
     unplanned_exits: tuple[str, ...] = ()
 
 
-class Server:
+class FakeServer:
     def __init__(self, runs):
         self.target_id = "i-1"
         self.runs = runs
         self.last_arrival_seconds = 0.0
 
 
-class Beating:
+class FakeHeartbeatServer:
     drained_at_seconds = None
 
     def __init__(self, runs):
-        self.server = Server(runs)
+        self.server = FakeServer(runs)
 
 
-def found(sent, runs=0):
-    records = Records(sent=[sent], servers=[Beating({sent.request_id: runs})])
-    return findings(records, Fleet())
+def findings_of(sent, runs=0):
+    records = Records(
+        sent=[sent], servers=[FakeHeartbeatServer({sent.request_id: runs})]
+    )
+    return findings(records, FakeFleet())
 
 
-def test_the_checks_see_each_broken_promise():
+def test_the_checks_find_each_broken_promise():
     answered = {"status": 200, "is_complete": True}
-    assert found(Sent("1", "unsafe", "r", 0.0, **answered), runs=1) == []
-    assert "ran 2 times" in found(Sent("1", "unsafe", "r", 0.0, **answered), 2)[0]
-    assert found(Sent("1", "safe", "r", 0.0, **answered), runs=2) == []
-    told = Sent("1", "stream", "r", 0.0, status=503, is_complete=True)
-    assert "told 503 and ran" in found(told, runs=1)[0]
-    crossed = Sent("1", "safe", "r", 0.0, is_own=False, **answered)
-    assert "not its own" in found(crossed, runs=1)[0]
-    cut = Sent("1", "safe", "r", 0.0, end="ServerDisconnectedError")
-    assert "was cut" in found(cut, runs=1)[0]
-    assert found(cut, runs=0) == []
-    assert "denied" in found(Sent("1", "safe", "r", 0.0, status=404))[0]
-    assert found(Sent("1", "new", "r", 0.0, status=404)) == []
-    under = Sent("1", "new", "r", 0.0, status=404, settled_version=8)
-    assert "under version 8" in found(under)[0]
-    removed = Sent("1", "new", "r", 0.0, settled_version=9, **answered)
-    assert "under version 9" in found(removed, runs=1)[0]
+    assert findings_of(SentRequest("1", "unsafe", "r", 0.0, **answered), runs=1) == []
+    assert (
+        "ran 2 times"
+        in findings_of(SentRequest("1", "unsafe", "r", 0.0, **answered), 2)[0]
+    )
+    assert findings_of(SentRequest("1", "safe", "r", 0.0, **answered), runs=2) == []
+    refused = SentRequest("1", "stream", "r", 0.0, status=503, is_complete=True)
+    assert "answered with 503 but ran" in findings_of(refused, runs=1)[0]
+    crossed = SentRequest("1", "safe", "r", 0.0, is_own_answer=False, **answered)
+    assert "not its own" in findings_of(crossed, runs=1)[0]
+    cut = SentRequest("1", "safe", "r", 0.0, failure="ServerDisconnectedError")
+    assert "was cut" in findings_of(cut, runs=1)[0]
+    assert findings_of(cut, runs=0) == []
+    assert "denied" in findings_of(SentRequest("1", "safe", "r", 0.0, status=404))[0]
+    assert findings_of(SentRequest("1", "new", "r", 0.0, status=404)) == []
+    missing = SentRequest("1", "new", "r", 0.0, status=404, settled_version=8)
+    assert "under version 8" in findings_of(missing)[0]
+    removed = SentRequest("1", "new", "r", 0.0, settled_version=9, **answered)
+    assert "under version 9" in findings_of(removed, runs=1)[0]
 
 
 @pytest.mark.parametrize(
     ("at_seconds", "is_found"), [(11.0, False), (13.0, True), (21.0, False)]
 )
-def test_the_check_sees_work_in_an_evacuated_data_centre(at_seconds, is_found):
-    """The order was acknowledged at 10 s and its opposite sent at 20 s."""
-    server = Beating({})
+def test_the_check_finds_work_in_an_evacuated_data_centre(at_seconds, is_found):
+    """The evacuation was acknowledged at 10 s and its end ordered at 20 s."""
+    server = FakeHeartbeatServer({})
     server.data_centre = "b"
     server.server.arrivals_seconds = [at_seconds]
     records = Records(servers=[server], evacuations=[Span("b", 10.0, 20.0)])
-    assert bool(findings(records, Fleet())) is is_found
+    assert bool(findings(records, FakeFleet())) is is_found
     records.faults.append(Span("core", 9.0, 12.0))
-    assert findings(records, Fleet()) == []
+    assert findings(records, FakeFleet()) == []
 
 
-def test_a_version_is_settled_once_no_change_can_be_in_force_beside_it():
+def test_a_version_is_settled_once_no_other_version_can_be_in_force():
     records = Records()
     assert records.settled_version(0.0) is None
-    records.acknowledged(4, 10.0)
+    records.record_acknowledgement(4, 10.0)
     assert records.settled_version(11.0) is None
     assert records.settled_version(14.0) == 4
-    records.changes_under_way = 1
+    records.changes_in_progress = 1
     assert records.settled_version(14.0) is None
-    records.changes_under_way = 0
-    records.is_unsure = True
+    records.changes_in_progress = 0
+    records.is_outcome_unknown = True
     assert records.settled_version(14.0) is None
-    records.acknowledged(6, 15.0)
+    records.record_acknowledgement(6, 15.0)
     assert records.settled_version(19.0) == 6
--- a/tools/platform_soak.py
+++ b/tools/platform_soak.py
@@ -2,13 +2,13 @@
 
     python -m tools.platform_soak --seeds 1-50 [--seconds 20] [--jobs 3]
 
-Each seed runs real processes on loopback under drawn faults that overlap and repeat:
-processes killed, paused, stopped as planned and told of changed settings, disks lost,
-data centres of servers evacuated and restored, servers that crash, drain and answer
-wrongly, connections that are delayed, reset and silenced. Callers keep their
-connections until the process is gone. What callers, servers and the operator see is
-checked against the promises; each line of findings names its seed, and the logs of that
-seed are kept.
+Each seed runs real processes on loopback under random faults that overlap and repeat:
+processes are killed, paused, stopped as planned and notified of changed settings, disks
+are lost, data centres of servers are evacuated and restored, servers crash, drain and
+answer wrongly, connections are delayed, reset and silenced. Callers keep their
+connections until the process has ended. What callers, servers and the operator observe
+is checked against the promises; each line of findings names its seed, and the logs of
+that seed are kept.
 """
 
 import argparse
@@ -42,10 +42,10 @@
 SERVERS = 4
 CALLERS = 16
 START_LIMIT_SECONDS = 20.0
-# After the last fault everything has to be served again within this.
-RECOVERY_SECONDS = 12.0
-# Servers work this long before an answer and before each event.
-WORK_SECONDS = 0.05
+# After the last fault every router has to serve again within this time.
+RECOVERY_LIMIT_SECONDS = 12.0
+# The time that a server works before an answer and before each event.
+SERVICE_SECONDS = 0.05
 WRONG_ANSWERS = (
     Fault.TWICE,
     Fault.UNFRAMED,
@@ -59,7 +59,7 @@
 
 
 class PlatformSoak:
-    """One seed: the deployment, its callers, the faults and what was recorded."""
+    """The run of one seed: the deployment, its callers, the faults and the records."""
 
     def __init__(self, fleet: PlatformFleet, seed: int, seconds: float) -> None:
         self.fleet = fleet
@@ -68,24 +68,24 @@
         self._random = Random(seed)
         self._seconds = seconds
         self._version = 10
-        self._core_is_touched = asyncio.Lock()
-        self._is_evacuating = asyncio.Lock()
+        self._core_fault_lock = asyncio.Lock()
+        self._evacuation_lock = asyncio.Lock()
 
     async def run(self) -> list[str]:
-        """Play the seed; return what was found."""
+        """Run the seed and return the findings."""
         await self._start()
-        self.callers.begin()
-        until_seconds = monotonic() + self._seconds
+        self.callers.start()
+        end_seconds = monotonic() + self._seconds
         faults: set[asyncio.Task[None]] = set()
-        while monotonic() < until_seconds:
-            act = self._random.choice(self._acts())
-            task = asyncio.create_task(act())
+        while monotonic() < end_seconds:
+            action = self._random.choice(self._fault_actions())
+            task = asyncio.create_task(action())
             faults.add(task)
             await asyncio.sleep(self._random.uniform(0.2, 1.5))
         await asyncio.gather(*faults)
-        found = await self._recovered()
-        await self.callers.end()
-        found += await self._read_back()
+        found = await self._wait_for_recovery()
+        await self.callers.stop()
+        found += await self._check_read_back()
         return found + findings(self.records, self.fleet)
 
     async def _start(self) -> None:
@@ -103,17 +103,17 @@
         async with asyncio.timeout(START_LIMIT_SECONDS):
             while not await self._declare():
                 await asyncio.sleep(0.2)
-            while not await self.callers.all_served():
+            while not await self.callers.is_every_router_serving():
                 await asyncio.sleep(0.2)
 
     async def _add_server(self) -> None:
-        one = await self.fleet.add_server()
-        one.server.pause_seconds = WORK_SECONDS
-        self.records.servers.append(one)
+        server = await self.fleet.add_server()
+        server.server.pause_seconds = SERVICE_SECONDS
+        self.records.servers.append(server)
 
     # --- faults ---------------------------------------------------------------
 
-    def _acts(self) -> tuple[Callable[[], Coroutine[None, None, None]], ...]:
+    def _fault_actions(self) -> tuple[Callable[[], Coroutine[None, None, None]], ...]:
         return (
             self._kill_router,
             self._stop_router,
@@ -123,42 +123,46 @@
             self._kill_core,
             self._crash_server,
             self._drain_server,
-            self._wrong_answers,
-            self._harm_connections,
+            self._answer_wrongly,
+            self._disturb_connections,
             self._evacuate,
-            self._change,
-            self._change,
-            self._race,
+            self._change_configuration,
+            self._change_configuration,
+            self._race_changes,
         )
 
-    def _router(self) -> Program | None:
-        """Return a router that nothing else happens to, or None."""
-        free = [one for one in self.fleet.routers if one.name not in self.records.busy]
+    def _choose_router(self) -> Program | None:
+        """Return a router without a running fault or stop, or None."""
+        free = [
+            router
+            for router in self.fleet.routers
+            if router.name not in self.records.disturbed
+        ]
         return self._random.choice(free) if len(free) > 1 else None
 
     async def _kill_router(self) -> None:
-        if router := self._router():
-            with self.records.fault(router.name):
+        if router := self._choose_router():
+            with self.records.record_fault(router.name):
                 await self.fleet.kill(router)
                 await asyncio.sleep(self._random.uniform(0.1, 1.0))
                 await self.fleet.start(router)
-                await self.callers.until_ready(router)
+                await self.callers.wait_until_ready(router)
 
     async def _stop_router(self) -> None:
-        if router := self._router():
-            with self.records.planned_stop(router.name):
+        if router := self._choose_router():
+            with self.records.record_planned_stop(router.name):
                 code = await self.fleet.stop(router)
             self.records.exit_codes.append((router.name, code))
-            with self.records.fault(router.name):
+            with self.records.record_fault(router.name):
                 await self.fleet.start(router)
-                await self.callers.until_ready(router)
+                await self.callers.wait_until_ready(router)
 
     async def _pause_process(self) -> None:
-        program = self._router()
+        program = self._choose_router()
         if program is None:
             return
         name = program.name
-        with self.records.fault(name), self.records.pause(name):
+        with self.records.record_fault(name), self.records.record_pause(name):
             program.signal(Signals.SIGSTOP)
             await asyncio.sleep(self._random.uniform(0.3, 2.5))
             program.signal(Signals.SIGCONT)
@@ -166,19 +170,19 @@
 
     async def _change_settings(self) -> None:
         program = self._random.choice(self.fleet.programs)
-        seeds = [one.control for one in self.fleet.replicas]
+        seeds = [replica.control for replica in self.fleet.replicas]
         self._random.shuffle(seeds)
         self.fleet.write_settings(program, seeds)
         if self._random.random() < 0.5:
             program.signal(Signals.SIGHUP)
 
     async def _kill_replica(self) -> None:
-        """End one replica, at times with its disk; one at a time loses it."""
-        if self._core_is_touched.locked():
+        """Kill one replica, sometimes with its disk; only one at a time loses it."""
+        if self._core_fault_lock.locked():
             return
-        async with self._core_is_touched:
+        async with self._core_fault_lock:
             replica = self._random.choice(self.fleet.replicas)
-            with self.records.fault("core"):
+            with self.records.record_fault("core"):
                 lose_disk = self._random.random() < 0.4
                 await self.fleet.kill(replica, lose_disk)
                 await asyncio.sleep(self._random.uniform(0.1, 1.5))
@@ -186,47 +190,47 @@
                 await asyncio.sleep(4.0)
 
     async def _kill_core(self) -> None:
-        if self._core_is_touched.locked():
+        if self._core_fault_lock.locked():
             return
-        async with self._core_is_touched:
-            with self.records.fault("core"):
+        async with self._core_fault_lock:
+            with self.records.record_fault("core"):
                 for replica in self.fleet.replicas:
                     await self.fleet.kill(replica)
                 for replica in self.fleet.replicas:
                     await self.fleet.start(replica)
                 await asyncio.sleep(4.0)
 
-    def _server(self) -> HeartbeatServer | None:
-        ready = [one for one in self.fleet.servers if one.state == "ready"]
+    def _choose_server(self) -> HeartbeatServer | None:
+        ready = [server for server in self.fleet.servers if server.state == "ready"]
         return self._random.choice(ready) if len(ready) > 2 else None
 
     async def _crash_server(self) -> None:
-        if server := self._server():
-            with self.records.fault("servers"):
+        if server := self._choose_server():
+            with self.records.record_fault("servers"):
                 await self.fleet.crash_server(server)
                 await asyncio.sleep(0.5)
                 await self._add_server()
 
     async def _drain_server(self) -> None:
-        if server := self._server():
+        if server := self._choose_server():
             await self.fleet.drain_server(server)
             await asyncio.sleep(4.0)
             if server in self.fleet.servers:
                 await self.fleet.crash_server(server)
             await self._add_server()
 
-    async def _wrong_answers(self) -> None:
-        if server := self._server():
-            with self.records.fault("servers"):
+    async def _answer_wrongly(self) -> None:
+        if server := self._choose_server():
+            with self.records.record_fault("servers"):
                 server.server.fault = self._random.choice(WRONG_ANSWERS)
                 await asyncio.sleep(self._random.uniform(0.3, 1.5))
                 server.server.fault = Fault.NONE
 
-    async def _harm_connections(self) -> None:
-        server = self._server()
+    async def _disturb_connections(self) -> None:
+        server = self._choose_server()
         if server is None:
             return
-        with self.records.fault("servers"):
+        with self.records.record_fault("servers"):
             match self._random.randrange(3):
                 case 0:
                     server.proxy.silence_open_flows()
@@ -239,35 +243,35 @@
 
     # --- changes --------------------------------------------------------------
 
-    async def _change(self) -> None:
+    async def _change_configuration(self) -> None:
         await self._declare()
 
     async def _evacuate(self) -> None:
-        """Evacuate a data centre and restore it, with orders that come again.
+        """Evacuate a data centre and restore it, with repeated orders.
 
-        Both orders are sent until they are acknowledged, to any replica; what is
-        recorded as evacuated ends when the opposite is sent for the first time.
+        Both orders are sent to any replica until they are acknowledged. The recorded
+        evacuation ends when the restoring order is sent for the first time.
         """
-        if self._is_evacuating.locked():
+        if self._evacuation_lock.locked():
             return
-        async with self._is_evacuating:
-            place = DATA_CENTRES[-1]
-            if not await self._order(place, evacuated=True):
+        async with self._evacuation_lock:
+            data_centre = DATA_CENTRES[-1]
+            if not await self._send_evacuation(data_centre, evacuated=True):
                 return
-            span = Span(place, monotonic())
+            span = Span(data_centre, monotonic())
             self.records.evacuations.append(span)
             await asyncio.sleep(self._random.uniform(0.5, 5.0))
             if self._random.random() < 0.5:
-                await self._order(place, evacuated=True)
+                await self._send_evacuation(data_centre, evacuated=True)
             span.to_seconds = monotonic()
-            while not await self._order(place, evacuated=False):
+            while not await self._send_evacuation(data_centre, evacuated=False):
                 await asyncio.sleep(0.3)
 
-    async def _order(self, place: str, evacuated: bool) -> bool:
+    async def _send_evacuation(self, data_centre: str, evacuated: bool) -> bool:
         """Send an order until it is acknowledged."""
         for _ in range(12):
             replica = self._random.choice(self.fleet.replicas)
-            status = await self.fleet.evacuate(replica, place, evacuated)
+            status = await self.fleet.evacuate(replica, data_centre, evacuated)
             if status == 200:
                 return True
             if 400 <= status < 500:
@@ -276,33 +280,33 @@
             await asyncio.sleep(0.3)
         return False
 
-    async def _race(self) -> None:
+    async def _race_changes(self) -> None:
         await asyncio.gather(*(self._declare() for _ in range(2)))
 
     async def _declare(self) -> bool:
-        """Send a new configuration until it is acknowledged, to any replica."""
+        """Send a new configuration to any replica until it is acknowledged."""
         self._version += self._random.randint(1, 3)
-        self.records.changes_under_way += 1
+        self.records.changes_in_progress += 1
         try:
             return await self._send_change(self._version)
         finally:
-            self.records.changes_under_way -= 1
+            self.records.changes_in_progress -= 1
 
     async def _send_change(self, version: int) -> bool:
         for _ in range(8):
             replica = self._random.choice(self.fleet.replicas)
             status = await self.fleet.declare(replica, version, version % 2 == 0)
             if status == 200:
-                self.records.acknowledged(version, monotonic())
+                self.records.record_acknowledgement(version, monotonic())
                 return True
             if 400 <= status < 500:
                 self.records.refused_changes.append(f"{version}: {status}")
                 return False
             await asyncio.sleep(0.3)
-        self.records.is_unsure = True
+        self.records.is_outcome_unknown = True
         return False
 
-    async def _read_back(self) -> list[str]:
+    async def _check_read_back(self) -> list[str]:
         for replica in self.fleet.replicas:
             version = await self.fleet.declared_version(replica)
             newest = self.records.newest_version
@@ -310,23 +314,25 @@
                 return []
         return [f"no replica reads back version {newest} or a newer one"]
 
-    async def _recovered(self) -> list[str]:
+    async def _wait_for_recovery(self) -> list[str]:
         """Wait until every router serves again."""
         try:
-            async with asyncio.timeout(RECOVERY_SECONDS):
-                while not await self.callers.all_served():
+            async with asyncio.timeout(RECOVERY_LIMIT_SECONDS):
+                while not await self.callers.is_every_router_serving():
                     await asyncio.sleep(0.2)
         except TimeoutError:
-            return [f"not all routers serve {RECOVERY_SECONDS} s after the last fault"]
+            return [
+                f"not all routers serve {RECOVERY_LIMIT_SECONDS} s after the last fault"
+            ]
         return []
 
 
-async def play(seed: int, seconds: float, net: int) -> list[str]:
-    """Play one seed in this process; return what was found.
+async def run_seed(seed: int, seconds: float, net: int) -> list[str]:
+    """Run one seed in this process and return the findings.
 
     Args:
-        seed: Draws faults and requests.
-        seconds: How long faults come.
+        seed: The seed of the random faults and requests.
+        seconds: How long faults are injected.
         net: The second number of the IP numbers used.
     """
     folder = RUN_FOLDER / f"seed-{seed}"
@@ -344,8 +350,8 @@
     return found
 
 
-def _many(seeds: range, seconds: float, jobs: int) -> int:
-    """Play many seeds in processes of their own; return how many found something."""
+def _run_seeds_in_processes(seeds: range, seconds: float, jobs: int) -> int:
+    """Run each seed in its own process; return how many seeds have findings."""
     waiting = list(seeds)
     running: list[subprocess.Popen[bytes]] = []
     failed = 0
@@ -356,15 +362,15 @@
             command += [str(seed), "--seconds", str(seconds)]
             running.append(subprocess.Popen(command, cwd=ROOT))
         running[0].wait()
-        for one in [one for one in running if one.poll() is not None]:
-            running.remove(one)
-            failed += one.returncode != 0
+        for process in [child for child in running if child.poll() is not None]:
+            running.remove(process)
+            failed += process.returncode != 0
     print(json.dumps({"seeds": len(seeds), "with_findings": failed}))
     return failed
 
 
 def main() -> int:
-    """Play the seeds that are asked for."""
+    """Run the seeds given on the command line."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seeds", default="1", help="one, or first-last")
     parser.add_argument("--seconds", type=float, default=20.0)
@@ -373,9 +379,9 @@
     first, _, last = arguments.seeds.partition("-")
     seeds = range(int(first), int(last or first) + 1)
     if len(seeds) > 1:
-        return min(_many(seeds, arguments.seconds, arguments.jobs), 1)
+        return min(_run_seeds_in_processes(seeds, arguments.seconds, arguments.jobs), 1)
     net = 20 + seeds[0] % 200
-    return 1 if asyncio.run(play(seeds[0], arguments.seconds, net)) else 0
+    return 1 if asyncio.run(run_seed(seeds[0], arguments.seconds, net)) else 0
 
 
 if __name__ == "__main__":
--- a/tools/platform_soak_callers.py
+++ b/tools/platform_soak_callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak: they keep connections until the process is gone."""
+"""Callers of the soak, which keep connections until the process has ended."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -18,11 +18,12 @@
     Program,
     request_headers,
 )
-from tools.platform_soak_verdict import Records, Sent
+from tools.platform_soak_verdict import Records, SentRequest
 
 DEADLINE_SECONDS = 4.0
-# A caller waits a little longer than it says, to see an answer that comes at the end.
-SEEN_LATER_SECONDS = 0.5
+# A caller waits longer than the deadline it sends, to receive an answer that arrives at
+# the deadline.
+CALLER_GRACE_SECONDS = 0.5
 KINDS = ("safe", "unsafe", "stream", "stream/resumed", "new")
 READY_LIMIT_SECONDS = 15.0
 
@@ -35,32 +36,33 @@
     records: Records
     count: int
     seed: int
-    _over: asyncio.Event = field(default_factory=asyncio.Event)
+    _stopping: asyncio.Event = field(default_factory=asyncio.Event)
     _tasks: list[asyncio.Task[None]] = field(default_factory=list)
     _number: int = 0
 
-    def begin(self) -> None:
-        """Start to call."""
+    def start(self) -> None:
+        """Start the callers."""
         self._tasks = [
-            asyncio.create_task(self._call(number)) for number in range(self.count)
+            asyncio.create_task(self._run_caller(number))
+            for number in range(self.count)
         ]
 
-    async def end(self) -> None:
-        """Call no more, and wait for all answers."""
-        self._over.set()
+    async def stop(self) -> None:
+        """Send no more requests, and wait for all answers."""
+        self._stopping.set()
         await asyncio.gather(*self._tasks)
 
-    async def all_served(self) -> bool:
-        """Return whether each router serves a request of its own."""
+    async def is_every_router_serving(self) -> bool:
+        """Send one request to each router; return whether all were served."""
         async with _make_session() as session:
             sent = [
                 await self._send(session, router, "safe")
                 for router in self.fleet.routers
             ]
-        return all(one.status == 200 for one in sent)
+        return all(sent_request.status == 200 for sent_request in sent)
 
-    async def until_ready(self, router: Program) -> None:
-        """Wait until a router says that it takes callers."""
+    async def wait_until_ready(self, router: Program) -> None:
+        """Wait until a router reports that it serves callers."""
         try:
             async with asyncio.timeout(READY_LIMIT_SECONDS):
                 while not await self.fleet.is_ready(router):
@@ -68,20 +70,22 @@
         except TimeoutError:
             self.records.never_ready.append(router.name)
 
-    async def _call(self, number: int) -> None:
-        """Send one request after another, each router over a kept connection."""
+    async def _run_caller(self, number: int) -> None:
+        """Send one request after another, over a persistent connection per router."""
         random = Random(self.seed * 1000 + number)
         async with _make_session() as session:
-            while not self._over.is_set():
+            while not self._stopping.is_set():
                 router = random.choice(self.fleet.routers)
                 kind = random.choice(KINDS)
                 await self._send(session, router, kind)
                 await asyncio.sleep(random.uniform(0.0, 0.15))
 
-    async def _send(self, session: ClientSession, router: Program, kind: str) -> Sent:
+    async def _send(
+        self, session: ClientSession, router: Program, kind: str
+    ) -> SentRequest:
         self._number += 1
         request_id = f"{self.seed}-{self._number}"
-        sent = Sent(request_id, kind, router.name, monotonic())
+        sent = SentRequest(request_id, kind, router.name, monotonic())
         sent.settled_version = self.records.settled_version(sent.at_seconds)
         url = f"http://{router.front}/{kind}/x"
         try:
@@ -89,19 +93,19 @@
                 url,
                 data=request_id.encode(),
                 headers=request_headers(request_id, DEADLINE_SECONDS),
-                timeout=ClientTimeout(total=DEADLINE_SECONDS + SEEN_LATER_SECONDS),
+                timeout=ClientTimeout(total=DEADLINE_SECONDS + CALLER_GRACE_SECONDS),
             ) as answer:
-                await _read(answer, sent)
+                await _record_answer(answer, sent)
         except TimeoutError:
-            sent.end = "timeout"
+            sent.failure = "timeout"
         except (ClientError, OSError) as error:
-            sent.end = type(error).__name__
-        sent.took_seconds = monotonic() - sent.at_seconds
+            sent.failure = type(error).__name__
+        sent.duration_seconds = monotonic() - sent.at_seconds
         self.records.sent.append(sent)
         return sent
 
 
-async def _read(answer: ClientResponse, sent: Sent) -> None:
+async def _record_answer(answer: ClientResponse, sent: SentRequest) -> None:
     sent.status = answer.status
     body = await answer.read()
     sent.is_complete = True
@@ -109,14 +113,14 @@
         return
     if sent.kind.startswith("stream"):
         events = [line for line in body.split(b"\n") if line.startswith(b"id: ")]
-        sent.is_own = events == [b"id: %d" % number for number in (1, 2, 3)]
+        sent.is_own_answer = events == [b"id: %d" % number for number in (1, 2, 3)]
     else:
-        sent.is_own = body == b"answer to " + sent.request_id.encode()
+        sent.is_own_answer = body == b"answer to " + sent.request_id.encode()
 
 
 def _make_session() -> ClientSession:
     session = ClientSession(connector=TCPConnector(limit=0))
-    # A caller that sends again by itself would look like a request that ran twice.
+    # An automatic retry of the client would look like a request that ran twice.
     session._retry_connection = False
     return session
 
@@ -124,5 +128,5 @@
 def make_callers(
     fleet: PlatformFleet, records: Records, count: int, seed: int
 ) -> Callers:
-    """Return callers that do nothing yet."""
+    """Return callers that are not started yet."""
     return Callers(fleet, records, count, seed)
