--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that several tests share."""
+"""Fixtures shared by several tests."""
 
 import pytest
 import uvloop
@@ -14,5 +14,5 @@
 
 
 def pytest_asyncio_loop_factories(config, item):
-    """Run the tests on the daemon's own loop, whose transports are of other types."""
+    """Run the tests on the daemon's event loop, whose transport types differ."""
     return {"uvloop": uvloop.new_event_loop}
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The platform's words, decoded and encoded at the edge."""
+"""Decoding and encoding of the platform's settings, configurations and headers."""
 
 import json
 
@@ -68,15 +68,15 @@
 }
 
 
-def changed(**fields):
+def configuration_with(**fields):
     return {**CONFIGURATION, **fields}
 
 
-def declared(configuration):
+def declare_configuration(configuration):
     return read_configuration(json.dumps(configuration).encode(), 1.0)
 
 
-def test_the_settings_of_a_process(tmp_path):
+def test_settings_file_becomes_daemon_settings(tmp_path):
     file = tmp_path / "boot.toml"
     file.write_text(BOOT)
     settings = daemon_settings(read_boot(file))
@@ -90,31 +90,31 @@
 
 
 @pytest.mark.parametrize("text", ["", "node_name = ", BOOT.replace("ip = ", "up = ")])
-def test_settings_that_can_t_be_read_are_refused(tmp_path, text):
+def test_invalid_settings_files_are_refused(tmp_path, text):
     file = tmp_path / "boot.toml"
     file.write_text(text)
     with pytest.raises(SettingsError):
         read_boot(file)
 
 
-def test_a_changed_settings_file_is_taken_over_and_a_broken_one_is_not(tmp_path):
-    """The file is replaced while the process runs, once by half a file."""
+def test_a_changed_settings_file_is_applied_and_a_broken_one_is_ignored(tmp_path):
+    """The file is replaced while the process runs, once by a truncated file."""
     file = tmp_path / "boot.toml"
     file.write_text(BOOT)
-    seen = []
-    watch = make_settings_watch(file, read_boot(file), seen.append)
+    reported_settings = []
+    watch = make_settings_watch(file, read_boot(file), reported_settings.append)
     watch.read()
-    assert seen == []
+    assert reported_settings == []
     file.write_text(BOOT.replace("10.2.0.21", "10.2.0.99"))
     watch.read()
-    assert seen[-1].seeds == ("10.1.0.36:7400", "10.2.0.99:7400")
+    assert reported_settings[-1].seeds == ("10.1.0.36:7400", "10.2.0.99:7400")
     file.write_text(BOOT[:100])
     watch.read()
-    assert len(seen) == 1
+    assert len(reported_settings) == 1
 
 
 def test_a_configuration_becomes_a_declaration():
-    declaration = declared(CONFIGURATION)
+    declaration = declare_configuration(CONFIGURATION)
     assert declaration.version == 7
     assert json.loads(declaration.text) == CONFIGURATION
     tree = effective_tree(DeclaredTree(declaration.nodes), 1)
@@ -130,18 +130,18 @@
     assert tree.fleet.tokens_per_second == 320_000
 
 
-def test_keys_stand_in_the_tree_as_digests_only():
-    nodes = declared(CONFIGURATION).nodes
+def test_the_tree_contains_keys_as_digests_only():
+    nodes = declare_configuration(CONFIGURATION).nodes
     assert not any(b"k1" in node for node in nodes.values())
 
 
 @pytest.mark.parametrize(
     "configuration",
     [
-        changed(routes=[{**ROUTE, "service": "nobody"}]),
-        changed(routes=[ROUTE, {**ROUTE, "name": "r-2"}]),
-        changed(routes=[ROUTE, {**ROUTE, "path_prefix": "/b/"}]),
-        changed(
+        configuration_with(routes=[{**ROUTE, "service": "nobody"}]),
+        configuration_with(routes=[ROUTE, {**ROUTE, "name": "r-2"}]),
+        configuration_with(routes=[ROUTE, {**ROUTE, "path_prefix": "/b/"}]),
+        configuration_with(
             routes=[
                 {
                     **ROUTE,
@@ -150,23 +150,23 @@
                 }
             ]
         ),
-        changed(routes=[{**ROUTE, "timeout_ms": 0}]),
-        changed(
+        configuration_with(routes=[{**ROUTE, "timeout_ms": 0}]),
+        configuration_with(
             tenants=[
                 {"name": "a", "api_keys": ["k"]},
                 {"name": "b", "api_keys": ["k"]},
             ]
         ),
         {"version": 7},
-        changed(version="seven"),
+        configuration_with(version="seven"),
     ],
 )
 def test_a_configuration_that_is_not_valid_is_refused(configuration):
     with pytest.raises(BadConfigurationError):
-        declared(configuration)
+        declare_configuration(configuration)
 
 
-def test_half_of_a_configuration_is_refused():
+def test_a_truncated_configuration_is_refused():
     text = json.dumps(CONFIGURATION).encode()
     for cut in (0, 1, len(text) // 2, len(text) - 1):
         with pytest.raises(BadConfigurationError):
@@ -177,12 +177,12 @@
     return {"Host": "h.example:80", "X-Sesameford-Attempt-Id": "i", **more}
 
 
-def read(fields):
+def read_call_with(fields):
     return make_wire_adapter().read_call("POST", "/a/b?c", fields, list(fields.items()))
 
 
-def test_a_call_is_read():
-    call = read(
+def test_a_call_is_decoded():
+    call = read_call_with(
         headers(
             **{
                 "X-Sesameford-Deadline-Ms": "1500",
@@ -221,22 +221,22 @@
         ),
     ],
 )
-def test_headers_that_can_t_be_read_are_refused(fields):
+def test_invalid_headers_are_refused(fields):
     with pytest.raises(BadCallError):
-        read(fields)
+        read_call_with(fields)
 
 
-def test_what_a_target_gets_and_says():
-    edge = make_wire_adapter()
-    call = read(headers())
-    sent = dict(edge.sent_headers(call, SendAttempt("i-7", "club", 1.25, "4")))
+def test_headers_to_a_target_and_of_its_answer():
+    adapter = make_wire_adapter()
+    call = read_call_with(headers())
+    sent = dict(adapter.sent_headers(call, SendAttempt("i-7", "club", 1.25, "4")))
     assert sent["X-Sesameford-Deadline-Ms"] == "1250"
     assert sent["X-Sesameford-Expect-Instance"] == "i-7"
     assert sent["X-Sesameford-Tenant"] == "club"
     assert sent["Last-Event-Id"] == "4"
     assert "Kv-Fetch" not in sent
     copying = SendAttempt("i-7", "club", 1.25, None, "10.0.0.9:80")
-    assert dict(edge.sent_headers(call, copying))["Kv-Fetch"] == "10.0.0.9:80"
-    head = edge.read_answer(503, [("x-sesameford-not-executed", "1")])
+    assert dict(adapter.sent_headers(call, copying))["Kv-Fetch"] == "10.0.0.9:80"
+    head = adapter.read_answer(503, [("x-sesameford-not-executed", "1")])
     assert head.not_run
-    assert edge.read_answer(421, []).is_other
+    assert adapter.read_answer(421, []).is_other
--- a/tests/test_platform_fleet.py
+++ b/tests/test_platform_fleet.py
@@ -1,4 +1,4 @@
-"""Replicas and routers on loopback that know only seeds, as the platform has them."""
+"""Replicas and routers on loopback that start with seeds only, as on the platform."""
 
 import asyncio
 import json
@@ -23,7 +23,7 @@
 
 
 class Fleet:
-    """Three replicas and two routers, each with an IP number of its own."""
+    """Three replicas and two routers, each with its own IP number."""
 
     def __init__(self, folder, session, net):
         self.folder = folder
@@ -77,7 +77,7 @@
         body = json.dumps(configuration).encode()
         return (await self.control(number, "PUT", "/v1/config", body))[0]
 
-    async def ask(self, number, path, key="k1"):
+    async def send_request(self, number, path, key="k1"):
         url = f"http://{self.address(number, FRONT_PORT)}{path}"
         headers = {
             "Host": "h.example",
@@ -88,8 +88,8 @@
             return answer.status
 
 
-async def until(condition):
-    """Wait until something holds."""
+async def wait_until(condition):
+    """Wait until a condition is true."""
     async with asyncio.timeout(LIMIT_SECONDS):
         while not await condition():
             await asyncio.sleep(0.05)
@@ -108,19 +108,22 @@
                 await fleet.stop(number)
 
 
-async def test_a_deployment_that_knows_only_seeds_serves_and_keeps_what_it_accepted(
+async def test_a_deployment_with_seeds_only_serves_and_keeps_accepted_configurations(
     tmp_path,
 ):
-    """The whole way, from the first start to a replica that ends and comes back."""
+    """Runs from the first start to a replica that stops and restarts.
+
+    Guards against accepted configurations that are lost, or that an older one replaces.
+    """
     async with open_fleet(tmp_path, 77) as fleet:
 
-        async def declared():
+        async def is_declared():
             return await fleet.declare(2, CONFIGURATION) == 200
 
-        await until(declared)
+        await wait_until(is_declared)
         server = make_platform_server("s1")
         await server.start()
-        beat = {
+        heartbeat = {
             "service": "pool",
             "address": server.address,
             "zone": "a",
@@ -128,15 +131,15 @@
             "state": "ready",
             "sequence": 1,
         }
-        body = json.dumps(beat).encode()
+        body = json.dumps(heartbeat).encode()
         status, _ = await fleet.control(3, "PUT", "/v1/instances/s1", body)
         assert status == 200
         for router in (4, 5):
-            await until(lambda router=router: served(fleet, router))
-        assert await fleet.ask(4, "/elsewhere/") == 404
-        assert await fleet.ask(4, "/a/stream/x", key="nobody's") == 401
+            await wait_until(lambda router=router: is_served(fleet, router))
+        assert await fleet.send_request(4, "/elsewhere/") == 404
+        assert await fleet.send_request(4, "/a/stream/x", key="nobody's") == 401
 
-        # Read back anywhere, also after a late older one.
+        # Every replica reads the newest version back, also after an older one arrives.
         older = {**CONFIGURATION, "version": 3, "routes": []}
         assert await fleet.declare(1, older) == 200
         for replica in (1, 2, 3):
@@ -144,49 +147,49 @@
             assert (status, json.loads(text)) == (200, CONFIGURATION)
         assert await fleet.declare(1, {**CONFIGURATION, "routes": "none"}) == 400
 
-        # One replica ends and comes back; changes are accepted meanwhile.
+        # One replica stops and restarts; changes are accepted meanwhile.
         await fleet.stop(1)
         fleet.founds = False
         newer = {**CONFIGURATION, "version": 9, "tenants": []}
 
-        async def declared_newer():
+        async def is_newer_declared():
             return await fleet.declare(2, newer) == 200
 
-        await until(declared_newer)
+        await wait_until(is_newer_declared)
         await fleet.start(1)
 
-        async def read_newer():
+        async def is_newer_read_back():
             status, text = await fleet.control(1, "GET", "/v1/config")
             return status == 200 and json.loads(text)["version"] == 9
 
-        await until(read_newer)
+        await wait_until(is_newer_read_back)
 
-        # A target that leaves gets nothing more.
+        # A target that has left gets no more requests.
         status, _ = await fleet.control(2, "DELETE", "/v1/instances/s1")
         assert status == 200
 
-        async def refused():
-            return await fleet.ask(4, "/a/stream/x") == 503
+        async def is_refused():
+            return await fleet.send_request(4, "/a/stream/x") == 503
 
-        await until(refused)
+        await wait_until(is_refused)
         await server.stop()
 
 
-async def served(fleet, router):
-    return await fleet.ask(router, "/a/stream/x") == 200
+async def is_served(fleet, router):
+    return await fleet.send_request(router, "/a/stream/x") == 200
 
 
-async def test_a_replica_alone_is_not_sure_of_the_newest_configuration(tmp_path):
+async def test_a_lone_replica_does_not_return_a_configuration(tmp_path):
     """Two of three replicas are down; the third can't know what they accepted.
 
-    Told an old configuration as the newest, an operator would build on it.
+    If it returned an old configuration as the newest, an operator would build on it.
     """
     async with open_fleet(tmp_path, 78, (1, 2, 3)) as fleet:
 
-        async def declared():
+        async def is_declared():
             return await fleet.declare(1, CONFIGURATION) == 200
 
-        await until(declared)
+        await wait_until(is_declared)
         await fleet.stop(2)
         await fleet.stop(3)
         async with asyncio.timeout(LIMIT_SECONDS):
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins count and pace truly, since the bench and the tests rely on them."""
+"""Counts and timing of the stand-ins, which the bench and other tests rely on."""
 
 from argparse import Namespace
 
@@ -35,7 +35,7 @@
     assert abs(batch.busy_slot_seconds - needed) < 1e-6
 
 
-def test_a_cancelled_run_makes_room():
+def test_a_cancelled_run_frees_its_slot():
     batch = Batch(1, tokens_per_second=10.0)
     batch.submit("a", 0, 1000, 0.0)
     batch.submit("b", 0, 10, 0.0)
