--- a/standins/engine.py
+++ b/standins/engine.py
@@ -21,7 +21,7 @@
 from standins.shell import make_parser, open_journal, run_target
 
 CRASH_EXIT_CODE = 70
-_MAX_FINISHED_STREAMS = 2_000
+_MAX_STORED_STREAMS = 2_000
 _LOAD_SAMPLE_SECONDS = 0.1
 _SILENT_AFTER_EVENTS = 2
 _ORDER_KINDS = ("load", "unload", "adapter", "version", "role")
@@ -38,7 +38,7 @@
     chat: bool
     events: list[bytes] = field(default_factory=list)
     output_tokens: int = 0
-    over: bool = False
+    is_over: bool = False
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def notify_readers(self) -> None:
@@ -159,7 +159,7 @@
         self._advance()
         if self.batch.cancel(stream.attempt_id, time.monotonic()):
             self._runs[stream.marks.mark]["cancelled"] += 1
-            stream.over = True
+            stream.is_over = True
             stream.notify_readers()
             self._schedule()
         return web.Response(status=204)
@@ -184,7 +184,7 @@
                 chunk = b"".join(stream.events[position:])
                 position = len(stream.events)
                 await response.write(chunk)
-            if stream.over and position >= len(stream.events):
+            if stream.is_over and position >= len(stream.events):
                 break
             if stream.changed is changed:
                 await changed.wait()
@@ -244,16 +244,16 @@
         }
         _add_event(stream, {"model": stream.model, "choices": [], "usage": usage})
         stream.events.append(b"id: %d\ndata: [DONE]\n\n" % len(stream.events))
-        stream.over = True
+        stream.is_over = True
         self._runs[stream.marks.mark]["completed"] += 1
         self._service[stream.marks.customer]["completed"] += 1
 
     def _remove_old_streams(self) -> None:
         """Remove the oldest finished streams beyond the limit."""
-        surplus = len(self._streams) - _MAX_FINISHED_STREAMS
+        surplus = len(self._streams) - _MAX_STORED_STREAMS
         if surplus > 0:
-            over = [key for key, stream in self._streams.items() if stream.over]
-            for key in over[:surplus]:
+            is_over = [key for key, stream in self._streams.items() if stream.is_over]
+            for key in is_over[:surplus]:
                 del self._streams[key]
 
     async def _report_load(self, _request: web.Request) -> web.Response:
