--- a/standins/engine.py
+++ b/standins/engine.py
@@ -252,8 +252,8 @@
         """Remove the oldest finished streams beyond the limit."""
         surplus = len(self._streams) - _MAX_STORED_STREAMS
         if surplus > 0:
-            is_over = [key for key, stream in self._streams.items() if stream.is_over]
-            for key in is_over[:surplus]:
+            finished = [key for key, stream in self._streams.items() if stream.is_over]
+            for key in finished[:surplus]:
                 del self._streams[key]
 
     async def _report_load(self, _request: web.Request) -> web.Response:
