--- a/sesameford/gateway/serve.py
+++ b/sesameford/gateway/serve.py
@@ -6,7 +6,7 @@
 
 from sesameford.early_answers import pop_decision
 from sesameford.event_stream import EventStream
-from sesameford.gateway.admit import begin, decide
+from sesameford.gateway.admit import admit_call, make_call_context
 from sesameford.gateway.call_context import (
     RETRY_AFTER_SECONDS,
     CallContext,
@@ -25,7 +25,7 @@
     SendOutcome,
     body_until,
 )
-from sesameford.gateway.own_answer import refuse
+from sesameford.gateway.generated_answer import refuse_call
 from sesameford.gateway.target_record import Reservation
 
 # A call is refused after more failed connects than this: each may take the whole
@@ -60,8 +60,12 @@
     try:
         if call is None:
             call = read_call(deps, request.method, request.raw_path, request.headers)
-        admitted = early.admitted if early else decide(deps, call, arrived_at_seconds)
-        context = await begin(deps, request, call, admitted, arrived_at_seconds)
+        admitted = (
+            early.admitted if early else admit_call(deps, call, arrived_at_seconds)
+        )
+        context = await make_call_context(
+            deps, request, call, admitted, arrived_at_seconds
+        )
         deps.metrics.record_call_start()
         try:
             response = await _send_until_answered(deps, request, context)
@@ -72,7 +76,9 @@
     except CutError as cut:
         return _cut_stream(deps, request, cut)
     except Refusal as refusal:
-        return refuse(deps, call, context, refusal, arrived_at_seconds).for_library()
+        return refuse_call(
+            deps, call, context, refusal, arrived_at_seconds
+        ).to_response()
     except asyncio.CancelledError:
         if context is not None:
             log_end(deps, context, "caller-left", "")
@@ -146,8 +152,11 @@
     context.reservation = reservation
     context.tried |= {reservation.target_id}
     resume_after = context.call.resume_after
-    if context.passed_events is not None and context.passed_events.last_event_id >= 0:
-        resume_after = str(context.passed_events.last_event_id)
+    if (
+        context.forwarded_events is not None
+        and context.forwarded_events.last_event_id >= 0
+    ):
+        resume_after = str(context.forwarded_events.last_event_id)
     attempt = SendAttempt(
         reservation.target_id,
         context.customer,
@@ -167,7 +176,9 @@
         ) as exchange:
             deps.placement.record_answer_data(reservation, deps.now())
             async with body_until(context.until_seconds):
-                answer = await _pass_on(deps, request, context, reservation, exchange)
+                answer = await _forward_answer(
+                    deps, request, context, reservation, exchange
+                )
         is_failed = context.status >= 500
     except SendAttemptError as error:
         is_failed = error.outcome in (SendOutcome.LOST, SendOutcome.BROKEN)
@@ -184,7 +195,7 @@
     return answer
 
 
-async def _pass_on(
+async def _forward_answer(
     deps: GatewayDeps,
     request: web.BaseRequest,
     context: CallContext,
@@ -194,7 +205,7 @@
     head = exchange.head
     context.status = context.status or head.status
     if context.route.is_stream and 200 <= head.status < 300:
-        return await _pass_stream(deps, request, context, reservation, exchange)
+        return await _forward_stream(deps, request, context, reservation, exchange)
     if context.response is not None:
         raise SendAttemptError(
             SendOutcome.BROKEN, f"status {head.status} in place of the rest"
@@ -216,7 +227,7 @@
     return context.send_attempts >= context.route.attempts
 
 
-async def _pass_stream(
+async def _forward_stream(
     deps: GatewayDeps,
     request: web.BaseRequest,
     context: CallContext,
@@ -228,8 +239,8 @@
     if response is None:
         response = web.StreamResponse(status=exchange.head.status)
         _set_headers(deps, response, exchange.head.headers)
-    if context.route.resumable and context.passed_events is None:
-        context.passed_events = EventStream()
+    if context.route.resumable and context.forwarded_events is None:
+        context.forwarded_events = EventStream()
     async for chunk in exchange.chunks():
         if context.record_event(deps.now()):
             if context.call.prompt is not None:
@@ -240,13 +251,13 @@
             deps.placement.record_first_event(reservation, deps.now())
         deps.placement.record_answer_data(reservation, deps.now())
         ready = (
-            context.passed_events.feed(chunk)
-            if context.passed_events is not None
+            context.forwarded_events.feed(chunk)
+            if context.forwarded_events is not None
             else chunk
         )
         if ready:
             await _write(request, context, response, ready)
-    if context.passed_events is not None and context.passed_events.held_bytes:
+    if context.forwarded_events is not None and context.forwarded_events.held_bytes:
         raise SendAttemptError(SendOutcome.BROKEN, "the stream ended inside an event")
     if context.response is None:
         await _write(request, context, response, b"")
@@ -297,8 +308,8 @@
         # No target received the call, so it does not count as an attempt.
         context.send_attempts -= 1
         context.failed_connects += 1
-    if error.outcome is SendOutcome.BROKEN and context.passed_events is not None:
-        context.passed_events.drop_partial()
+    if error.outcome is SendOutcome.BROKEN and context.forwarded_events is not None:
+        context.forwarded_events.drop_partial()
 
 
 def _record_first_event_time(deps: GatewayDeps, context: CallContext) -> None:
