--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -30,7 +30,7 @@
     make_tree_change,
 )
 from tests.test_platform_adapter import CONFIGURATION
-from tests.test_platform_fleet import open_fleet, until
+from tests.test_platform_fleet import open_fleet, wait_until
 
 ENGINE = ServiceSettings("pool", batch_slots=32, cache_copy_tokens_per_second=4e5)
 
@@ -279,10 +279,10 @@
             state = fleet.nodes[4]._state
             return state is not None and state.tree.evacuated_data_centres == {"a"}
 
-        await until(declared)
+        await wait_until(declared)
         path = "/v1/evacuations/a"
         assert (await fleet.control(1, "POST", path))[0] == 200
-        await until(in_force)
+        await wait_until(in_force)
         assert (await fleet.control(2, "POST", path))[0] == 200
         assert (await fleet.control(3, "DELETE", path))[0] == 200
         assert not fleet.nodes[3]._machine.store.declared.nodes.get("none")
