--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Tools for those who work on sesameford: demo, load and capacity."""
+"""Tools for developers: demo, load generator, capacity planner, fuzzers and soaks."""
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,8 +1,9 @@
-"""``make demo``: a whole deployment on loopback, from a tree to traces.
+"""``make demo``: runs a complete deployment on loopback, from a tree to traces.
 
-It starts 8 daemons in 3 data centres and 12 stand-ins, applies a tree, sends streamed
-and whole completions, chats and calls of a plain service from four customers through
-every instance, shows what each got, and stops everything gracefully.
+It starts 8 daemons in 3 data centres and 12 stand-in targets, applies a tree, sends
+streamed and whole completions, chats and calls of a plain service from four customers
+through every instance, prints the results by customer and stops all processes
+gracefully.
 """
 
 import asyncio
@@ -27,13 +28,13 @@
 
 RUN_FOLDER = ROOT / "run" / "demo"
 _TIMEOUT_SECONDS = 100.0
-_TARGETS_SECONDS = 15.0
+_TARGETS_TIMEOUT_SECONDS = 15.0
 
 console = Console()
 
 
 def demo_customers() -> Sequence[Customer]:
-    """Return the demo's customers: two large, two small."""
+    """Return four customers of unequal shares in two branches."""
     return (
         Customer("copy-desk", "staff", 4.0, ()),
         Customer("anand-club", "clubs", 1.0, ()),
@@ -43,10 +44,15 @@
 
 
 async def apply_tree(fleet: Fleet, text: str, name: str = "tree.yaml") -> None:
-    """Apply a tree by the command-line tool and wait until it is in force.
+    """Apply a tree with ``sesamefordctl`` and wait until it is in force.
+
+    Args:
+        fleet: The running fleet.
+        text: The tree as YAML.
+        name: Name of the file in the fleet's folder that the tree is written to.
 
     Raises:
-        FleetError: The tool's exit code is not 0.
+        FleetError: The exit code of ``sesamefordctl`` is not 0.
     """
     file = fleet.folder / name
     file.write_text(text, encoding="utf-8")
@@ -67,33 +73,33 @@
 
 
 async def wait_for_targets(fleet: Fleet) -> None:
-    """Wait until every instance may send work to every target.
+    """Wait until every instance can send requests to every target.
 
     Raises:
-        FleetError: Some target is unknown somewhere for too long.
+        FleetError: A process ended, or an instance can't use all targets in time.
     """
-    wanted = len(fleet.targets)
-    give_up_at = asyncio.get_running_loop().time() + _TARGETS_SECONDS
-    known: dict[str, int] = {}
+    expected = len(fleet.targets)
+    deadline = asyncio.get_running_loop().time() + _TARGETS_TIMEOUT_SECONDS
+    usable_targets: dict[str, int] = {}
     async with ClientSession() as session:
-        while asyncio.get_running_loop().time() < give_up_at:
+        while asyncio.get_running_loop().time() < deadline:
             for member in fleet.members():
                 if not member.alive:
                     raise FleetError(f"{member.member_id} ended: {member.log_file}")
             for member in fleet.instances.values():
                 metrics = await read_metrics(session, member.url)
                 usable = metrics.total("sesameford_usable_targets")
-                known[member.member_id] = int(usable)
-            if all(count >= wanted for count in known.values()):
+                usable_targets[member.member_id] = int(usable)
+            if all(count >= expected for count in usable_targets.values()):
                 return
             await asyncio.sleep(0.2)
-    raise FleetError(f"of {wanted} targets, instances know {known}")
+    raise FleetError(f"of {expected} targets, instances can use {usable_targets}")
 
 
 async def _send_all(
     fleet: Fleet, customers: Sequence[Customer]
 ) -> tuple[Mapping[str, Sequence[Answer]], str]:
-    """Send every kind of request from every customer through every instance.
+    """Send every kind of request for every customer through every instance.
 
     Returns:
         The answers by customer, and the trace id of one request.
@@ -102,7 +108,7 @@
     trace_id = secrets.token_hex(16)
     async with ClientSession() as session:
 
-        async def one(customer: Customer, member_id: str, url: str) -> None:
+        async def send_requests(customer: Customer, member_id: str, url: str) -> None:
             mark = f"{customer.name}.{member_id}"
             kinds = {"stream": (True, False), "whole": (False, False)}
             kinds["chat"] = (True, True)
@@ -129,7 +135,7 @@
 
         await asyncio.gather(
             *(
-                one(customer, member.member_id, member.url)
+                send_requests(customer, member.member_id, member.url)
                 for customer in customers
                 for member in fleet.instances.values()
             )
@@ -142,8 +148,8 @@
     return answers, trace_id
 
 
-async def _cost_units(fleet: Fleet) -> Mapping[str, float]:
-    """Return what the instances charged each customer."""
+async def _read_cost_units(fleet: Fleet) -> Mapping[str, float]:
+    """Return the cost units that the instances charged, by customer."""
     costs: dict[str, float] = {}
     async with ClientSession() as session:
         for member in fleet.instances.values():
@@ -154,12 +160,16 @@
     return costs
 
 
-def _show(
+def _print_answers(
     customers: Sequence[Customer],
     answers: Mapping[str, Sequence[Answer]],
     costs: Mapping[str, float],
 ) -> bool:
-    """Print what each customer got; return whether all of it was right."""
+    """Print the results by customer.
+
+    Returns:
+        Whether every answer is complete and none belongs to another request.
+    """
     table = Table(title="What each customer got")
     for heading in ("customer", "share", "requests", "complete", "crossed"):
         table.add_column(heading, justify="right" if heading != "customer" else "left")
@@ -191,14 +201,14 @@
     return all_right
 
 
-def _show_trace(fleet: Fleet, trace_id: str) -> bool:
-    """Print the spans of one request; return whether every hop has one."""
+def _print_trace(fleet: Fleet, trace_id: str) -> bool:
+    """Print the spans of one request and return whether every hop has a span."""
     spans = []
     for file in sorted(fleet.folder.glob("*.spans.jsonl")):
         for line in file.read_text(encoding="utf-8").splitlines():
             if trace_id in line:
                 spans.append((file, json.loads(line)))
-    spans.sort(key=lambda one: one[1]["start_time"])
+    spans.sort(key=lambda row: row[1]["start_time"])
     names = [span["name"] for _, span in spans]
     table = Table(title=f"Trace {trace_id}")
     for heading in ("span", "start", "end"):
@@ -215,10 +225,10 @@
     """Run the demo once.
 
     Args:
-        folder: Where settings, logs and traces go.
+        folder: Folder for settings, logs and traces.
 
     Returns:
-        Whether everything was right.
+        Whether all answers, the trace and all exit codes are right.
     """
     customers = demo_customers()
     async with Fleet(DESK, folder) as fleet:
@@ -232,9 +242,9 @@
         await fleet.wait_ready()
         console.print("The tree is in force everywhere")
         answers, trace_id = await _send_all(fleet, customers)
-        right = _show(customers, answers, await _cost_units(fleet))
+        right = _print_answers(customers, answers, await _read_cost_units(fleet))
         codes = await fleet.stop_all()
-    right = _show_trace(fleet, trace_id) and right
+    right = _print_trace(fleet, trace_id) and right
     failed = {name: code for name, code in codes.items() if code}
     console.print(
         f"Not stopped with exit code 0: {failed}"
@@ -245,7 +255,7 @@
 
 
 def main() -> int:
-    """Run the demo; 0 if everything was right."""
+    """Run the demo and return the exit code: 0 if all checks hold, else 1."""
     shutil.rmtree(RUN_FOLDER, ignore_errors=True)
     try:
         right = asyncio.run(
--- a/tools/faulty_fleet.py
+++ b/tools/faulty_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet whose stand-ins keep journals; some stand behind fault proxies."""
+"""A fleet with fault injection: journals of the stand-ins and proxies before some."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -10,12 +10,13 @@
 
 
 class FaultyFleet(Fleet):
-    """Starts what `Fleet` starts, with faults to hand.
+    """A `Fleet` whose stand-ins write journals, with fault proxies before some of them.
 
     Args:
-        shape: What to start.
-        folder: An empty folder; the journals stand there too.
-        is_proxied: Whether the target at a position of its kind gets a proxy.
+        shape: Processes of the deployment.
+        folder: An empty folder for settings, logs, traces, data and journals.
+        is_proxied: Returns whether the target at a position, counted from 0 among
+            those of its kind, gets a fault proxy.
     """
 
     def __init__(
@@ -33,26 +34,30 @@
         self, kind: str, position: int, port: int, arguments: tuple[str, ...]
     ) -> None:
         name = f"{kind}{position + 1}"
-        more = [f"--journal={self.folder / name}.journal"]
+        fault_arguments = [f"--journal={self.folder / name}.journal"]
         if self._is_proxied(position):
             (proxy_port,) = free_ports(1)
             self.proxies[name] = FaultProxy(HOST, port)
             self._proxy_ports[name] = proxy_port
-            more.append(f"--announced-url=http://{HOST}:{proxy_port}")
-        super()._plan_target(kind, position, port, (*arguments, *more))
+            fault_arguments.append(f"--announced-url=http://{HOST}:{proxy_port}")
+        super()._plan_target(kind, position, port, (*arguments, *fault_arguments))
 
     async def start(self) -> None:
-        """Start the proxies besides."""
+        """Start the fleet, then the fault proxies."""
         await super().start()
         for name, proxy in self.proxies.items():
             await proxy.start(HOST, self._proxy_ports[name])
 
     async def reap(self) -> None:
-        """End the proxies besides."""
+        """Kill the fleet's processes, then stop the fault proxies."""
         await super().reap()
         for proxy in self.proxies.values():
             await proxy.stop()
 
     def silence(self) -> int:
-        """Let all open connections to the targets behind proxies go silent."""
+        """Stop the traffic on all open connections of the proxies without closing them.
+
+        Returns:
+            The number of connections silenced.
+        """
         return sum(proxy.silence_open_flows() for proxy in self.proxies.values())
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -1,7 +1,8 @@
-"""Starts daemons and stand-ins as plain processes on loopback, and reaps them.
+"""Starts and stops daemons and stand-ins as plain processes on loopback.
 
-A daemon starts no process itself; the demo and the bench do, through this module.
-Every process that it ends is its own child, ended by its id.
+The demo and the benchmarks start their processes through this module, since a daemon
+starts no process itself. Every process that the module ends is its own child and is
+ended by its process id.
 """
 
 import asyncio
@@ -21,21 +22,21 @@
 from tools.relay import Relay
 from tools.shapes import HOST, OPERATOR, ROOT, Shape
 
-_READY_SECONDS = 40.0
-_STOP_SECONDS = 20.0
-_POLL_SECONDS = 0.1
-_HELD_METRICS = ("sesameford_waiting_requests", "sesameford_running_attempts")
+_READY_TIMEOUT_SECONDS = 40.0
+_STOP_TIMEOUT_SECONDS = 20.0
+_POLL_INTERVAL_SECONDS = 0.1
+_OPEN_WORK_METRICS = ("sesameford_waiting_requests", "sesameford_running_attempts")
 
 
 class FleetError(Exception):
-    """A process of the fleet did not do what was asked of it."""
+    """A process of the fleet ended, failed or did not become ready in time."""
 
 
 class Fleet:
-    """The daemons, stand-ins and links of one run.
+    """The daemons, stand-ins and relays between data centres of one run.
 
     Args:
-        shape: What to start.
+        shape: Processes of the deployment.
         folder: An empty folder for settings, logs, traces and data.
     """
 
@@ -68,16 +69,16 @@
 
     @property
     def environment(self) -> Mapping[str, str]:
-        """Return the environment of every process."""
+        """Return the environment variables of every process."""
         return os.environ | {"PYTHONPATH": str(ROOT)}
 
     @property
     def operators_file(self) -> Path:
-        """Return the file that holds the operator's key, for the tool."""
+        """Return the file with the operator's key, for ``sesamefordctl --key-file``."""
         return self.folder / "operator.key"
 
     async def start(self) -> None:
-        """Write all settings and start everything."""
+        """Write all settings, then start the relays and all processes."""
         self.folder.mkdir(parents=True, exist_ok=True)
         _write_secret(self.folder / "shared.key", self.keys.shared)
         _write_secret(self.operators_file, self.keys.operator)
@@ -92,7 +93,7 @@
             await self.launch(member)
 
     def members(self) -> Iterator[Member]:
-        """Return every daemon and stand-in."""
+        """Yield every daemon, then every stand-in."""
         yield from self.instances.values()
         yield from self.targets.values()
 
@@ -109,119 +110,129 @@
             )
 
     async def wait_up(self) -> None:
-        """Wait until every instance answers; without a tree none is ready yet.
+        """Wait until every instance answers ``/healthz``; none is ready without a tree.
 
         Raises:
-            FleetError: One ended or stayed silent; the text names its log.
+            FleetError: An instance ended or did not answer in time; the text names
+                its log file.
         """
-        await self._wait_page(list(self.instances.values()), "healthz")
+        await self._wait_for_page(list(self.instances.values()), "healthz")
 
     async def wait_ready(self, members: Sequence[Member] | None = None) -> None:
-        """Wait until every instance says that it is ready for callers.
+        """Wait until ``/readyz`` of some instances, by default all, answers with 200.
 
         Raises:
-            FleetError: One ended or stayed not ready; the text names its log.
+            FleetError: An instance ended or was not ready in time; the text names
+                its log file.
         """
-        await self._wait_page(members or list(self.instances.values()), "readyz")
+        await self._wait_for_page(members or list(self.instances.values()), "readyz")
 
-    async def _wait_page(self, members: Sequence[Member], page: str) -> None:
+    async def _wait_for_page(self, members: Sequence[Member], page: str) -> None:
         """Wait until a page of each member answers with 200."""
         async with ClientSession(timeout=ClientTimeout(total=2)) as session:
             for member in members:
-                await self._wait_one(session, member, page)
+                await self._wait_for_member(session, member, page)
 
-    async def _wait_one(
+    async def _wait_for_member(
         self, session: ClientSession, member: Member, page: str
     ) -> None:
         """Wait until a page of one member answers with 200."""
-        give_up_at = asyncio.get_running_loop().time() + _READY_SECONDS
-        said = "nothing"
-        while asyncio.get_running_loop().time() < give_up_at:
+        deadline = asyncio.get_running_loop().time() + _READY_TIMEOUT_SECONDS
+        last_answer = "nothing"
+        while asyncio.get_running_loop().time() < deadline:
             if not member.alive:
                 raise FleetError(f"{member.member_id} ended, see {member.log_file}")
             try:
                 async with session.get(f"{member.url}/{page}") as response:
                     if response.status == 200:
                         return
-                    said = f"{response.status} {(await response.text())[:200]}"
+                    last_answer = f"{response.status} {(await response.text())[:200]}"
             except (ClientError, TimeoutError, OSError) as error:
-                said = str(error)
-            await asyncio.sleep(_POLL_SECONDS)
+                last_answer = str(error)
+            await asyncio.sleep(_POLL_INTERVAL_SECONDS)
         raise FleetError(
-            f"{member.member_id}: /{page} said {said}, see {member.log_file}"
+            f"{member.member_id}: /{page} answered {last_answer}, see {member.log_file}"
         )
 
     async def kill(self, member: Member) -> None:
-        """End a process at once, as a crash does."""
+        """Kill a process with SIGKILL, as a crash would end it."""
         if member.alive:
             assert member.process is not None
             member.process.kill()
             await member.process.wait()
 
     async def stop(self, member: Member) -> int:
-        """Ask a process to stop and return its exit code, -9 if it had to be killed."""
+        """Stop a process with SIGTERM, or SIGKILL if it does not end in time.
+
+        Returns:
+            Its exit code; -9 if it was killed.
+        """
         assert member.process is not None
         if member.alive:
             member.process.send_signal(signal.SIGTERM)
         try:
-            code = await asyncio.wait_for(member.process.wait(), _STOP_SECONDS)
+            code = await asyncio.wait_for(member.process.wait(), _STOP_TIMEOUT_SECONDS)
         except TimeoutError:
-            await self._explain(member)
+            await self._log_open_work(member)
             await self.kill(member)
             code = -signal.SIGKILL
         self.exit_codes[member.member_id] = code
         return code
 
-    async def _explain(self, member: Member) -> None:
-        """Add to a member's log what it still held when it would not stop."""
-        held = "nothing to be read"
+    async def _log_open_work(self, member: Member) -> None:
+        """Append the open requests of a member that does not stop to its log file."""
+        open_work = "nothing to be read"
         with suppress(ClientError, TimeoutError, OSError):
             async with (
                 ClientSession(timeout=ClientTimeout(total=2)) as session,
                 session.get(f"{member.url}/metrics") as response,
             ):
                 page = (await response.text()).splitlines()
-                held = "; ".join(
-                    line for line in page if line.startswith(_HELD_METRICS)
+                open_work = "; ".join(
+                    line for line in page if line.startswith(_OPEN_WORK_METRICS)
                 )
         with member.log_file.open("a", encoding="utf-8") as log:
-            log.write(f"did not stop within {_STOP_SECONDS:g} s; {held}\n")
+            log.write(f"did not stop within {_STOP_TIMEOUT_SECONDS:g} s; {open_work}\n")
 
     async def stop_all(self) -> Mapping[str, int]:
-        """Stop the targets, then the instances, gracefully; return exit codes."""
+        """Stop the targets, then the instances, gracefully.
+
+        Returns:
+            The exit codes of all members stopped so far, by member id.
+        """
         for group in (self.targets, self.instances):
             alive = [member for member in group.values() if member.alive]
             await asyncio.gather(*(self.stop(member) for member in alive))
         return self.exit_codes
 
     async def restart_empty(self, member: Member, down_seconds: float) -> None:
-        """Kill an instance and start it again; it keeps only its data folder."""
+        """Kill a member and start it again; only its files on disk survive."""
         await self.kill(member)
         await asyncio.sleep(down_seconds)
         await self.launch(member)
 
     async def cut(self, data_centre: str) -> None:
-        """Separate a data centre from all others, silently."""
+        """Partition a data centre from all others; connections stay open but silent."""
         for relay in self._relays_of(data_centre):
             relay.cut()
         for target in self.targets.values():
             inside = target.data_centre == data_centre
-            far = [
+            separated_ids = [
                 member.member_id
                 for member in self.instances.values()
                 if (member.data_centre == data_centre) != inside
             ]
-            await self._post_faults(target, {"cut_off": far})
+            await self._post_faults(target, {"cut_off": separated_ids})
 
     async def heal(self, data_centre: str) -> None:
-        """Join a data centre to the others again."""
+        """End the partition of a data centre."""
         for relay in self._relays_of(data_centre):
             relay.heal()
         for target in self.targets.values():
             await self._post_faults(target, {"cut_off": []})
 
     async def _post_faults(self, target: Member, faults: Mapping[str, Any]) -> None:
-        """Tell a stand-in how to misbehave."""
+        """Set the faults that a stand-in injects."""
         async with (
             ClientSession() as session,
             session.post(f"{target.url}/faults", json=faults),
@@ -237,31 +248,31 @@
         ]
 
     async def reap(self) -> None:
-        """Kill what still runs, and close the links."""
+        """Kill all processes that still run and stop the relays."""
         for member in self.members():
             await self.kill(member)
         for relay in self._relays.values():
             await relay.stop()
 
     def _relays_of(self, data_centre: str) -> Iterator[Relay]:
-        """Return the links that lead into or out of a data centre."""
+        """Yield the relays that lead into or out of a data centre."""
         for (source, destination_id), relay in self._relays.items():
-            into = self.instances[destination_id].data_centre == data_centre
-            if source == data_centre or into:
+            leads_into = self.instances[destination_id].data_centre == data_centre
+            if source == data_centre or leads_into:
                 yield relay
 
     def _plan_instances(self) -> None:
-        """Choose names, places and ports of the daemons."""
+        """Choose names, data centres and ports of the daemons."""
         ports = iter(free_ports(3 * self.shape.instances))
-        places = self.shape.data_centres
+        data_centres = self.shape.data_centres
         for position in range(self.shape.instances):
-            place = places[position % len(places)]
-            member_id = f"r{position + 1}-{place}"
+            data_centre = data_centres[position % len(data_centres)]
+            member_id = f"r{position + 1}-{data_centre}"
             settings_file = self.folder / f"{member_id}.yaml"
             self.instances[member_id] = Member(
                 member_id=member_id,
                 kind="instance",
-                data_centre=place,
+                data_centre=data_centre,
                 command=(
                     sys.executable,
                     "-m",
@@ -276,7 +287,7 @@
             self._peer_addresses[member_id] = f"{HOST}:{next(ports)}"
 
     def _plan_relays(self) -> None:
-        """Put a link before each instance for each other data centre."""
+        """Plan a relay to each instance from each other data centre."""
         pairs = [
             (source, member)
             for member in self.instances.values()
@@ -284,9 +295,9 @@
             if source != member.data_centre
         ]
         for port, (source, member) in zip(free_ports(len(pairs)), pairs, strict=True):
-            host, far_port = self._peer_addresses[member.member_id].split(":")
+            host, peer_port = self._peer_addresses[member.member_id].split(":")
             self._relays[source, member.member_id] = Relay(
-                HOST, port, (host, int(far_port)), self.shape.one_way_seconds
+                HOST, port, (host, int(peer_port)), self.shape.one_way_seconds
             )
             self._relay_ports[source, member.member_id] = port
 
@@ -330,7 +341,7 @@
         file.write_text(yaml.safe_dump(settings, sort_keys=False), encoding="utf-8")
 
     def _is_hub(self, member: Member) -> bool:
-        """Return whether an instance passes on for its data centre: the first one."""
+        """Return whether an instance is a hub: the first one of its data centre is."""
         return (
             self.shape.has_hubs and self.instances_in(member.data_centre)[0] is member
         )
@@ -343,13 +354,13 @@
         return hubs == 2 or (hubs == 1 and one.data_centre == other.data_centre)
 
     def _address_from(self, data_centre: str, peer: Member) -> str:
-        """Return where an instance in a data centre reaches a peer."""
+        """Return the address at which an instance in a data centre reaches a peer."""
         if peer.data_centre == data_centre:
             return self._peer_addresses[peer.member_id]
         return f"{HOST}:{self._relay_ports[data_centre, peer.member_id]}"
 
     def _plan_targets(self) -> None:
-        """Choose names, places and ports of the stand-ins."""
+        """Choose names, data centres and ports of the stand-ins."""
         shape = self.shape
         ports = iter(free_ports(shape.engines + shape.services))
         for position in range(shape.engines):
@@ -370,23 +381,25 @@
         self, kind: str, position: int, port: int, arguments: tuple[str, ...]
     ) -> None:
         """Plan one stand-in, which announces itself in its own data centre."""
-        place = self.shape.data_centres[position % len(self.shape.data_centres)]
-        member_id = f"{kind}{position + 1}-{place}"
-        near = [member.operators_url for member in self.instances_in(place)]
+        data_centre = self.shape.data_centres[position % len(self.shape.data_centres)]
+        member_id = f"{kind}{position + 1}-{data_centre}"
+        announce_urls = [
+            member.operators_url for member in self.instances_in(data_centre)
+        ]
         self.targets[member_id] = Member(
             member_id=member_id,
             kind=kind,
-            data_centre=place,
+            data_centre=data_centre,
             command=(
                 sys.executable,
                 "-m",
                 f"standins.{kind}",
                 f"--port={port}",
                 f"--target-id={member_id}",
-                f"--data-centre={place}",
+                f"--data-centre={data_centre}",
                 f"--platform-key={self.keys.platform}",
                 "--announce",
-                *near,
+                *announce_urls,
                 *arguments,
             ),
             log_file=self.folder / f"{member_id}.log",
@@ -395,6 +408,6 @@
 
 
 def _write_secret(file: Path, secret: str) -> None:
-    """Write a key that only this user may read."""
+    """Write a key to a file that only this user can read."""
     file.touch(mode=0o600)
     file.write_text(secret + "\n", encoding="utf-8")
--- a/tools/members.py
+++ b/tools/members.py
@@ -13,14 +13,15 @@
 
 from tools.shapes import HOST
 
-_LOWEST_PORT, _PORTS = 10_000, 22_000
-_PORTS_OF_A_PROCESS = 200
-_port_numbers = count(os.getpid() * _PORTS_OF_A_PROCESS)
+# Linux chooses the ports of outgoing connections from 32,768 on.
+_LOWEST_PORT, _PORT_COUNT = 10_000, 22_000
+_PORTS_PER_PROCESS = 200
+_port_offsets = count(os.getpid() * _PORTS_PER_PROCESS)
 
 
 @dataclass(slots=True)
 class Member:
-    """A process of the fleet and how to reach it."""
+    """A process of the fleet, its addresses and its log file."""
 
     member_id: str
     kind: str
@@ -39,13 +40,13 @@
 
     @property
     def alive(self) -> bool:
-        """Return whether its process runs."""
+        """Return whether the process was started and has not ended."""
         return self.process is not None and self.process.returncode is None
 
 
 @dataclass(frozen=True, slots=True)
 class Keys:
-    """Keys made for one run."""
+    """Random keys for one run."""
 
     operator: str = field(default_factory=lambda: secrets.token_hex(16))
     platform: str = field(default_factory=lambda: secrets.token_hex(16))
@@ -53,21 +54,21 @@
 
 
 def digest_of(key: str) -> str:
-    """Return the digest under which a key stands in settings."""
+    """Return the SHA-256 digest of a key, in hex, as settings and trees list it."""
     return sha256(key.encode()).hexdigest()
 
 
-def free_ports(wanted: int) -> Sequence[int]:
-    """Return ports that nobody listens on now.
+def free_ports(port_count: int) -> Sequence[int]:
+    """Return ports on which no process listens now.
 
-    They lie below those that the kernel gives to outgoing connections, and each
-    process begins elsewhere: ports that the kernel chose would be taken again by
-    another run, or by a connection, before the daemon could listen on them.
+    They lie below the range that the kernel uses for outgoing connections, and each
+    process starts the search at another port: a port that the kernel chose could be
+    taken by another run or a connection before the daemon listens on it.
     """
     ports: list[int] = []
-    while len(ports) < wanted:
-        port = _LOWEST_PORT + next(_port_numbers) % _PORTS
-        with socket.socket() as one, suppress(OSError):
-            one.bind((HOST, port))
+    while len(ports) < port_count:
+        port = _LOWEST_PORT + next(_port_offsets) % _PORT_COUNT
+        with socket.socket() as probe, suppress(OSError):
+            probe.bind((HOST, port))
             ports.append(port)
     return ports
--- a/tools/prometheus.py
+++ b/tools/prometheus.py
@@ -1,4 +1,4 @@
-"""Reads the metrics that an instance shows."""
+"""Reads and parses the Prometheus metrics page of an instance."""
 
 import re
 from collections.abc import Iterator, Mapping
@@ -17,7 +17,7 @@
     text: str
 
     def rows(self, name: str) -> Iterator[tuple[Mapping[str, str], float]]:
-        """Yield labels and value of each row of a metric."""
+        """Yield the labels and the value of each sample of a metric."""
         for line in self.text.splitlines():
             if not line.startswith(name):
                 continue
@@ -26,11 +26,16 @@
                 yield dict(_LABEL.findall(match[2] or "")), float(match[3])
 
     def total(self, name: str) -> float:
-        """Return the sum of all rows of a metric."""
+        """Return the sum of all samples of a metric."""
         return sum(value for _, value in self.rows(name))
 
 
 async def read_metrics(session: ClientSession, url: str) -> Metrics:
-    """Return the metrics of the instance whose callers' address is given."""
+    """Return the metrics of an instance.
+
+    Args:
+        session: HTTP client session.
+        url: Base URL of the instance's listener for callers.
+    """
     async with session.get(f"{url}/metrics") as response:
         return Metrics(await response.text())
--- a/tools/relay.py
+++ b/tools/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay on loopback that stands for a link between two data centres."""
+"""A TCP relay on loopback that simulates delay and partition between data centres."""
 
 import asyncio
 from contextlib import suppress
@@ -7,16 +7,16 @@
 
 
 class Relay:
-    """Passes bytes between two ports, with a delay, until it is cut.
+    """Forwards TCP connections to a destination with a delay, and can be cut.
 
-    A cut link says nothing: connections stay open, new ones are taken, and no byte
-    passes. That is what a network partition looks like from either end, and a relay
-    that closed its connections instead would never show a silent loss.
+    While the relay is cut, connections stay open and new ones are accepted, but no
+    byte is forwarded. Both ends see a network partition that way; a relay that closed
+    its connections instead would never show a silent loss.
 
     Args:
-        host: IP number to listen on.
+        host: IP address to listen on.
         port: Port to listen on.
-        destination: Host and port at the other end.
+        destination: Host and port to forward to.
         delay_seconds: One-way delay.
     """
 
@@ -27,18 +27,18 @@
         self._port = port
         self._destination = destination
         self._delay_seconds = delay_seconds
-        self._whole = asyncio.Event()
-        self._whole.set()
+        self._is_connected = asyncio.Event()
+        self._is_connected.set()
         self._server: asyncio.Server | None = None
         self._connections: set[asyncio.Task[None]] = set()
         self.passed_bytes = 0
 
     async def start(self) -> None:
-        """Listen."""
+        """Listen for connections."""
         self._server = await asyncio.start_server(self._accept, self._host, self._port)
 
     async def stop(self) -> None:
-        """Close the port and every connection."""
+        """Close the listener and every connection."""
         if self._server is not None:
             self._server.close()
         for task in list(self._connections):
@@ -46,42 +46,45 @@
         await asyncio.gather(*self._connections, return_exceptions=True)
 
     def cut(self) -> None:
-        """Let nothing pass from now on."""
-        self._whole.clear()
+        """Stop forwarding in both directions without closing connections."""
+        self._is_connected.clear()
 
     def heal(self) -> None:
-        """Let bytes pass again; what was held back arrives late."""
-        self._whole.set()
+        """Forward again; the bytes that waited during the cut arrive late."""
+        self._is_connected.set()
 
     async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Join a new connection to one to the destination."""
+        """Connect to the destination and forward both ways until both ends close."""
         task = asyncio.current_task()
         assert task is not None
         self._connections.add(task)
         try:
-            await self._whole.wait()
-            far_reader, far_writer = await asyncio.open_connection(*self._destination)
+            await self._is_connected.wait()
+            destination_reader, destination_writer = await asyncio.open_connection(
+                *self._destination
+            )
             try:
                 await asyncio.gather(
-                    self._pump(reader, far_writer), self._pump(far_reader, writer)
+                    self._forward(reader, destination_writer),
+                    self._forward(destination_reader, writer),
                 )
             finally:
-                far_writer.close()
+                destination_writer.close()
         except (OSError, asyncio.CancelledError):
             pass
         finally:
             writer.close()
             self._connections.discard(task)
 
-    async def _pump(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Pass bytes one way until the sender closes."""
+        """Forward bytes in one direction until the sender closes."""
         while chunk := await reader.read(_CHUNK_BYTES):
             await asyncio.sleep(self._delay_seconds)
-            await self._whole.wait()
+            await self._is_connected.wait()
             self.passed_bytes += len(chunk)
             writer.write(chunk)
             await writer.drain()
--- a/tools/shapes.py
+++ b/tools/shapes.py
@@ -1,4 +1,4 @@
-"""What the demo's and the bench's deployments consist of."""
+"""Shapes of the deployments of the demo and the benchmarks."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -10,7 +10,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """What a deployment consists of; instances and targets go round the places."""
+    """The processes of a deployment.
+
+    Instances and targets are assigned to the data centres round-robin; the first
+    ``replicas`` instances are replicas. ``engine_slots`` and ``service_slots`` are the
+    parallel requests of one target, ``one_way_seconds`` is the delay between data
+    centres.
+    """
 
     name: str
     data_centres: tuple[str, ...]
--- a/tools/trees.py
+++ b/tools/trees.py
@@ -1,4 +1,4 @@
-"""Declared trees and customers for the demo and the bench."""
+"""Makes trees and customers for the demo and the benchmarks."""
 
 import secrets
 from collections.abc import Sequence
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """A customer, its bearer key and the instances where its calls enter.
+    """A customer, its bearer key and the instances that receive its calls.
 
     ``name`` is the last part of its path in the tree, without a slash.
     """
@@ -33,10 +33,10 @@
     """Return the YAML of a tree for a deployment.
 
     Args:
-        shape: Its models and services.
-        customers: Who may call.
+        shape: The deployment, with its models and services.
+        customers: The customers to declare.
         scheduler: ``leased`` or ``independent``.
-        branch: Fields that all customers inherit.
+        branch: Fields of the ``customers`` node, which all customers inherit.
 
     Returns:
         The text for ``sesamefordctl apply``.
@@ -50,13 +50,15 @@
         if customer.share != node["share"]:
             leaf["share"] = customer.share
         node["children"][customer.name] = leaf
-    no_repeat = {"method": "POST", "path_prefix": "/mailing", "repeatable": False}
+    mailing_route = {"method": "POST", "path_prefix": "/mailing", "repeatable": False}
     tree = {
         "fleet": {"scheduler": scheduler},
         "customers": {**branch, "children": branches},
         "models": {"children": {model: {} for model in shape.models}},
         "services": {
-            "children": {name: {"routes": [no_repeat]} for name in shape.service_names}
+            "children": {
+                name: {"routes": [mailing_route]} for name in shape.service_names
+            }
         },
     }
     return yaml.safe_dump(tree, sort_keys=False)
