--- a/tools/fuzz.py
+++ b/tools/fuzz.py
@@ -1,7 +1,7 @@
-"""Runs every hypothesis state machine of the tests with new seeds for some time.
+"""Runs every Hypothesis state machine of the tests with random seeds for some time.
 
-Each round gives one state machine a seed of its own. A failure is printed with
-the seed that brings it back: ``python -m tools.fuzz --machine NAME --seed N``.
+Each round runs one state machine with a new seed. A failure is printed with its seed
+and is reproduced by ``python -m tools.fuzz --machine NAME --seed N``.
 """
 
 import argparse
@@ -18,16 +18,16 @@
 from hypothesis import HealthCheck, Phase, seed, settings
 from hypothesis.stateful import RuleBasedStateMachine, run_state_machine_as_test
 
-TESTS = Path(__file__).resolve().parent.parent / "tests"
+TESTS_FOLDER = Path(__file__).resolve().parent.parent / "tests"
 EXAMPLES_PER_ROUND = 10
 STEPS_PER_EXAMPLE = 100
 SEED_BITS = 48
 
 
-def state_machines() -> list[type[RuleBasedStateMachine]]:
+def find_state_machines() -> list[type[RuleBasedStateMachine]]:
     """Return the state machines of all test modules, each once."""
     found: list[type[RuleBasedStateMachine]] = []
-    for file in sorted(TESTS.glob("test_*.py")):
+    for file in sorted(TESTS_FOLDER.glob("test_*.py")):
         module = import_module(f"tests.{file.stem}")
         for name, member in getmembers(module, isclass):
             if member.__module__ != module.__name__ or name.startswith("_"):
@@ -37,10 +37,10 @@
     return found
 
 
-def counting(
+def make_counting_machine(
     machine: type[RuleBasedStateMachine], steps: Counter[str]
 ) -> type[RuleBasedStateMachine]:
-    """Return a state machine that counts its steps."""
+    """Return a subclass of a state machine that counts its steps under its name."""
 
     class Counting(machine):  # type: ignore[misc, valid-type]
         def check_invariants(self, *arguments: object, **options: object) -> None:
@@ -57,16 +57,16 @@
     steps: Counter[str],
     shrink: bool,
 ) -> bool:
-    """Run one state machine under one seed.
+    """Run one state machine with one seed and print a failure.
 
     Args:
         machine: The state machine.
         round_seed: The seed.
-        steps: Where its steps are counted.
-        shrink: Whether to look for a shorter failure.
+        steps: Counts the steps by the name of the machine.
+        shrink: Whether to search for a shorter failing example.
 
     Returns:
-        Whether all held.
+        Whether no example failed.
     """
     phases = [Phase.generate, Phase.shrink] if shrink else [Phase.generate]
     options = settings(
@@ -79,7 +79,7 @@
         phases=phases,
         suppress_health_check=list(HealthCheck),
     )
-    seeded = seed(round_seed)(counting(machine, steps))
+    seeded = seed(round_seed)(make_counting_machine(machine, steps))
     try:
         run_state_machine_as_test(seeded, settings=options)
     except Exception:
@@ -89,14 +89,14 @@
     return True
 
 
-def rounds(
-    machines: list[type[RuleBasedStateMachine]], until: float
+def schedule_rounds(
+    machines: list[type[RuleBasedStateMachine]], end_at_seconds: float
 ) -> Iterator[type[RuleBasedStateMachine]]:
-    """Yield the state machines in turn until the time is over, each at least once."""
+    """Yield the state machines in turn until a monotonic time, each at least once."""
     yield from machines
-    while time.monotonic() < until:
+    while time.monotonic() < end_at_seconds:
         for machine in machines:
-            if time.monotonic() < until:
+            if time.monotonic() < end_at_seconds:
                 yield machine
 
 
@@ -110,17 +110,19 @@
     arguments = parser.parse_args()
     machines = [
         machine
-        for machine in state_machines()
+        for machine in find_state_machines()
         if arguments.machine in (None, machine.__name__)
     ]
     steps: Counter[str] = Counter()
     if arguments.seed is not None:
-        held = [run_round(m, arguments.seed, steps, arguments.shrink) for m in machines]
-        return 0 if all(held) else 1
+        passed = [
+            run_round(m, arguments.seed, steps, arguments.shrink) for m in machines
+        ]
+        return 0 if all(passed) else 1
     failures = 0
-    chooser = random.SystemRandom()
-    for machine in rounds(machines, time.monotonic() + arguments.seconds):
-        round_seed = chooser.getrandbits(SEED_BITS)
+    seed_source = random.SystemRandom()
+    for machine in schedule_rounds(machines, time.monotonic() + arguments.seconds):
+        round_seed = seed_source.getrandbits(SEED_BITS)
         failures += not run_round(machine, round_seed, steps, arguments.shrink)
     for name, count in sorted(steps.items()):
         print(f"{name}: {count} steps")
