--- a/tools/soak_callers.py
+++ b/tools/soak_callers.py
@@ -1,4 +1,4 @@
-"""The soak's callers: requests of all kinds, and what came of each."""
+"""The soak's callers, which send requests of all kinds and record each result."""
 
 import time
 from asyncio import sleep
@@ -15,40 +15,42 @@
 
 TIMEOUT_SECONDS = 25.0
 DEADLINE_SECONDS = 6.0
-RESENDS = 3
+MAX_RESENDS = 3
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
-    """One sending of a request and what its caller was told.
-
-    ``outcome`` is ``ran``, ``not-run``, ``unknown``, ``cut`` for a stream that said
-    so itself, or ``none`` where no answer came. ``once`` says that the request may
-    run once only, ``looks_complete`` that length or end mark were there.
+class SentRequest:
+    """A request sent once, with the result that its caller received.
+
+    ``outcome`` is ``ran``, ``not-run``, ``unknown``, ``cut`` for a stream that
+    reported its cut itself, or ``none`` without an answer. ``runs_at_most_once`` marks
+    a request that must not run twice, ``looks_complete`` an answer of the announced
+    length or with its end mark. ``is_own`` is whether the answer belongs to this
+    request, ``is_whole`` whether it was really complete. Times are monotonic seconds.
     """
 
     mark: str
     kind: str
     url: str
-    once: bool
+    runs_at_most_once: bool
     outcome: str
     reason: str
     looks_complete: bool
     is_own: bool
     is_whole: bool
-    began_at: float
+    started_at: float
     ended_at: float
 
 
 class Caller:
-    """Sends requests one after another.
+    """A caller that sends requests one after another.
 
     Args:
-        session: Its connections.
-        shape: What the deployment serves.
-        customer: Whose key it bears.
-        number: Makes its marks its own.
-        seed: For its choices.
+        session: HTTP client session.
+        shape: The deployment, with its models and services.
+        customer: The customer whose key the requests carry.
+        number: Number of the caller; makes its marks unique.
+        seed: Seed of its random choices, combined with the number.
     """
 
     def __init__(
@@ -66,31 +68,40 @@
         self._random = Random(seed * 1000 + number)
         self._count = 0
 
-    async def send_next(self, ready: Callable[[], Sequence[Member]]) -> list[Sent]:
-        """Send the next request; with a key, again until it is known what came."""
+    async def send_next(
+        self, ready: Callable[[], Sequence[Member]]
+    ) -> list[SentRequest]:
+        """Send the next request; resend a keyed one until its outcome is certain.
+
+        Args:
+            ready: Returns the instances that accept requests now.
+
+        Returns:
+            One row for each time the request was sent.
+        """
         self._count += 1
         mark = f"c{self._number}.{self._count}"
         kind = self._random.choices(
             ("lookup", "mailing", "keyed", "stream", "keyed-whole"), (58, 14, 8, 14, 6)
         )[0]
-        keyed = kind.startswith("keyed")
-        sent: list[Sent] = []
-        for _ in range(1 + RESENDS if keyed else 1):
+        is_keyed = kind.startswith("keyed")
+        sent: list[SentRequest] = []
+        for _ in range(1 + MAX_RESENDS if is_keyed else 1):
             one = await self._send(mark, kind, ready)
             sent.append(one)
             if one.outcome in ("ran", "not-run"):
                 break
         return sent
 
-    async def send_poison(self, member: Member) -> Sent:
-        """Send the request that crashes engines; always the same body."""
+    async def send_poison(self, member: Member) -> SentRequest:
+        """Send the request that crashes engines; its body is always the same."""
         work = Work("poison", self._customer.name, self._shape.models[0], 8, "#crash")
         return await self._complete(member, work, "poison")
 
     async def _send(
         self, mark: str, kind: str, ready: Callable[[], Sequence[Member]]
-    ) -> Sent:
-        """Send once, through an instance that takes the connection."""
+    ) -> SentRequest:
+        """Send a request once, through a ready instance that accepts connections."""
         while True:
             members = ready()
             if not members:
@@ -110,7 +121,7 @@
                 sent = await self._call(member, mark, kind)
             if sent.reason != "no-connection":
                 return sent
-            # A balancer too turns to another instance when one takes no connection.
+            # A load balancer also tries another instance after a refused connection.
             await _pause()
 
     def _headers(self, mark: str, kind: str) -> dict[str, str]:
@@ -122,16 +133,16 @@
             headers["Idempotency-Key"] = mark
         return headers
 
-    async def _call(self, member: Member, mark: str, kind: str) -> Sent:
-        began_at = time.monotonic()
+    async def _call(self, member: Member, mark: str, kind: str) -> SentRequest:
+        started_at = time.monotonic()
         method, path = ("GET", "lookup") if kind == "lookup" else ("POST", "mailing")
         delay = self._random.choice((0.0, 0.0, 0.005, 0.02, 0.3))
         url = f"{member.url}/services/{self._shape.service_names[0]}/{path}"
         url += f"?mark={mark}&customer={self._customer.name}&delay={delay}"
         if kind == "keyed":
-            # A resend is the same to the byte.
+            # Resends must equal the first request byte for byte: no random delay.
             url = url.rpartition("&")[0]
-        outcome, reason, echoed, whole = "none", "", mark, False
+        outcome, reason, echoed_mark, is_answered = "none", "", mark, False
         try:
             async with self._session.request(
                 method,
@@ -139,38 +150,38 @@
                 headers=self._headers(mark, kind),
                 timeout=ClientTimeout(total=TIMEOUT_SECONDS),
             ) as response:
-                told = response.headers.get("Sesameford-Outcome", "")
+                reported_outcome = response.headers.get("Sesameford-Outcome", "")
                 body = await response.json(content_type=None)
-                outcome = told or "none"
+                outcome = reported_outcome or "none"
                 reason = str(body.get("reason", ""))
                 if response.status == 200:
-                    echoed, whole = body.get("mark", ""), True
+                    echoed_mark, is_answered = body.get("mark", ""), True
         except ClientConnectorError:
             reason = "no-connection"
         except (ClientError, TimeoutError, OSError, ValueError) as error:
             reason = repr(error)
-        return Sent(
+        return SentRequest(
             mark,
             kind,
             member.url,
             kind != "lookup",
             outcome,
             reason,
-            whole,
-            echoed == mark,
-            whole and echoed == mark,
-            began_at,
+            is_answered,
+            echoed_mark == mark,
+            is_answered and echoed_mark == mark,
+            started_at,
             time.monotonic(),
         )
 
-    async def _complete(self, member: Member, work: Work, kind: str) -> Sent:
-        began_at = time.monotonic()
-        connected = await _takes_connections(self._session, member)
-        if not connected:
+    async def _complete(self, member: Member, work: Work, kind: str) -> SentRequest:
+        started_at = time.monotonic()
+        is_connected = await _accepts_connections(self._session, member)
+        if not is_connected:
             reason = "no-connection"
-            return Sent(
+            return SentRequest(
                 work.mark, kind, member.url, False, "none", reason, False, True, False,
-                began_at, time.monotonic(),
+                started_at, time.monotonic(),
             )  # fmt: skip
         answer = await ask(
             self._session,
@@ -186,7 +197,7 @@
             outcome = "none"
         elif answer.status == 200 and not looks_complete:
             outcome = "cut"
-        return Sent(
+        return SentRequest(
             work.mark,
             kind,
             member.url,
@@ -196,13 +207,13 @@
             looks_complete,
             not answer.crossed or answer.status != 200,
             answer.complete,
-            began_at,
+            started_at,
             time.monotonic(),
         )
 
 
-async def _takes_connections(session: ClientSession, member: Member) -> bool:
-    """Return whether an instance takes connections just now."""
+async def _accepts_connections(session: ClientSession, member: Member) -> bool:
+    """Return whether an instance answers ``/healthz`` within 2 seconds."""
     try:
         async with session.get(
             f"{member.url}/healthz", timeout=ClientTimeout(total=2.0)
@@ -213,5 +224,5 @@
 
 
 async def _pause() -> None:
-    """Wait a moment before another try."""
+    """Wait 0.1 seconds before another attempt."""
     await sleep(0.1)
