--- a/benchmarks/bench.py
+++ b/benchmarks/bench.py
@@ -1,7 +1,8 @@
-"""``make bench``: both deployments, two variants, all phases, one JSON line.
+"""``make bench``: measures two deployments under two schedulers through all phases.
 
-A process for each deployment runs its variants one after the other; the two
-deployments run beside each other, on the same machine.
+One process for each deployment runs its variants one after the other; the two
+deployments run at the same time on the same machine. A quick run has one process for
+each variant too. The last line printed is one JSON object.
 """
 
 import asyncio
@@ -46,12 +47,12 @@
 
 
 def bench_shape(name: str) -> Shape:
-    """Return a deployment at the bench's pace."""
+    """Return a deployment with the bench's token rate of an engine."""
     return replace(DEPLOYMENTS[name], tokens_per_second=BENCH_TOKENS_PER_SECOND)
 
 
 async def _run_child(options: Namespace) -> None:
-    """Run some variants of one deployment and write what came of them."""
+    """Run some variants of one deployment and write their results and plots."""
     shape = bench_shape(options.deployment)
     phases = QUICK_PHASES if options.quick else FULL_PHASES
     calm_seconds = QUICK_CALM_SECONDS if options.quick else FULL_CALM_SECONDS
@@ -77,7 +78,16 @@
 
 
 async def _run_parent(options: Namespace) -> dict[str, Any]:
-    """Start a process for each deployment, and each variant in a quick run."""
+    """Start the measuring processes and return their results.
+
+    There is one process for each deployment, and in a quick run for each variant too.
+
+    Returns:
+        The results by deployment and variant.
+
+    Raises:
+        SystemExit: A process failed.
+    """
     groups = [",".join(VARIANTS)] if not options.quick else list(VARIANTS)
     processes = []
     for deployment in DEPLOYMENTS:
@@ -105,7 +115,7 @@
 
 
 def _notes(options: Namespace) -> Sequence[str]:
-    """Return what a reader must know of the run."""
+    """Return the paragraphs at the head of the report, which describe the run."""
     phases = QUICK_PHASES if options.quick else FULL_PHASES
     return [
         f"{'Quick' if options.quick else 'Full'} run: "
@@ -128,7 +138,7 @@
 
 
 def main() -> int:
-    """Run the bench and print its figures, on the last line as JSON."""
+    """Run the bench and print its figures as JSON on the last line."""
     parser = ArgumentParser(description="Measure fairness, use and control.")
     parser.add_argument("--quick", action="store_true")
     parser.add_argument("--deployment", choices=list(DEPLOYMENTS))
@@ -143,11 +153,11 @@
         return 0
     results = asyncio.run(_run_parent(options))
     figures = {
-        deployment: {name: one["figures"] for name, one in variants.items()}
+        deployment: {name: result["figures"] for name, result in variants.items()}
         for deployment, variants in results.items()
     }
     phases = {
-        deployment: {name: one["phases"] for name, one in variants.items()}
+        deployment: {name: result["phases"] for name, result in variants.items()}
         for deployment, variants in results.items()
     }
     report = write_report(options.results, figures, phases, _notes(options))
--- a/benchmarks/measure.py
+++ b/benchmarks/measure.py
@@ -1,4 +1,4 @@
-"""What the bench computes from samples: gaps, utilisation, starvation, mistakes."""
+"""Computes service gaps, utilisation, starvation and mistakes from samples."""
 
 from collections import Counter
 from collections.abc import Iterable, Iterator, Mapping, Sequence
@@ -18,10 +18,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """The true service so far, counted by the targets, and who waits.
+    """The true service so far, counted by the targets, and the backlogged customers.
 
-    ``backlogged`` holds the customers who had waiting work ever since the sample
-    before; ``service`` is in cost units.
+    ``backlogged`` holds the customers who had waiting requests during the whole time
+    since the previous sample; ``service`` is in cost units.
     """
 
     at_seconds: float
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Gap:
-    """The largest and the 99th percentile of the gaps over pairs and time."""
+    """The maximum and the 99th percentile of the gaps over all pairs and times."""
 
     maximum: float
     p99: float
@@ -42,7 +42,7 @@
 
 
 def cost_units(service: Mapping[str, int]) -> float:
-    """Return the cost units in a stand-in engine's count of tokens."""
+    """Return the cost units of the tokens that a stand-in engine counted."""
     cached = service.get("cached_prompt_tokens", 0)
     uncached = service.get("prompt_tokens", 0) - cached
     return (
@@ -53,15 +53,15 @@
 
 
 def service_gap(samples: Sequence[Sample], shares: Mapping[str, float]) -> Gap:
-    """Return how far the service of two backlogged customers came apart.
+    """Return the largest service gap between two backlogged customers.
 
-    For each pair, over each time in which both were backlogged throughout, it is the
-    range of ``S_i/w_i - S_j/w_j``: the largest difference of service over any
-    interval within.
+    For each pair of customers and each span in which both were backlogged throughout,
+    the gap is the range of ``S_i/w_i - S_j/w_j``: the largest difference of service
+    over any interval within the span.
 
     Args:
-        samples: In order of time, without a gap in observation.
-        shares: The weight of each customer.
+        samples: Samples in order of time, without an interruption.
+        shares: The share (weight) of each customer.
 
     Returns:
         The gap in cost units per unit of share.
@@ -79,18 +79,21 @@
 def gap_over_time(
     samples: Sequence[Sample], shares: Mapping[str, float]
 ) -> Sequence[float]:
-    """Return for each sample the largest range so far of any backlogged pair."""
+    """Return for each sample the largest gap so far of any backlogged pair."""
     result = numpy.zeros(len(samples))
     for _, begin, running in _pair_ranges(samples, shares):
         part = slice(begin, begin + len(running))
         result[part] = numpy.maximum(result[part], running)
-    return [float(one) for one in result]
+    return [float(gap) for gap in result]
 
 
 def _pair_ranges(
     samples: Sequence[Sample], shares: Mapping[str, float]
 ) -> Iterator[tuple[tuple[str, str], int, NDArray[numpy.float64]]]:
-    """Yield each pair, where its common backlog begins, and the range so far."""
+    """Yield each pair with the first position of a common backlog and its gaps so far.
+
+    There is one item for each span in which both customers were backlogged.
+    """
     normalised = {
         name: numpy.array([s.service.get(name, 0.0) / share for s in samples])
         for name, share in shares.items()
@@ -98,7 +101,7 @@
     for first, second in combinations(sorted(shares), 2):
         difference = normalised[first] - normalised[second]
         both = [first in s.backlogged and second in s.backlogged for s in samples]
-        for start, end in _runs(both):
+        for start, end in _true_spans(both):
             begin = max(0, start - 1)
             part = difference[begin:end]
             running = numpy.maximum.accumulate(part) - numpy.minimum.accumulate(part)
@@ -106,7 +109,7 @@
 
 
 def utilisation_while_backlogged(samples: Sequence[Sample]) -> float:
-    """Return the part of the slots that was busy while somebody waited."""
+    """Return the busy fraction of the slots while any customer was backlogged."""
     used = available = 0.0
     for before, after in pairwise(samples):
         if after.backlogged and after.phase == before.phase:
@@ -117,17 +120,19 @@
 
 
 def starved_customers(samples: Sequence[Sample]) -> Sequence[str]:
-    """Return who was backlogged for some seconds on end and got nothing."""
+    """Return the customers with no service for `STARVED_SECONDS` of backlog."""
     starved: set[str] = set()
     names = {name for sample in samples for name in sample.backlogged}
     for name in names:
-        for start, end in _runs([name in sample.backlogged for sample in samples]):
-            since, level = samples[start].at_seconds, -1.0
+        for start, end in _true_spans(
+            [name in sample.backlogged for sample in samples]
+        ):
+            served_at, last_served = samples[start].at_seconds, -1.0
             for sample in samples[start:end]:
                 served = sample.service.get(name, 0.0)
-                if served > level:
-                    since, level = sample.at_seconds, served
-                if sample.at_seconds - since > STARVED_SECONDS:
+                if served > last_served:
+                    served_at, last_served = sample.at_seconds, served
+                if sample.at_seconds - served_at > STARVED_SECONDS:
                     starved.add(name)
     return sorted(starved)
 
@@ -147,18 +152,18 @@
 def count_mistakes(
     sent: Iterable[Sent], counts: Sequence[Mapping[str, Any]], excused: frozenset[str]
 ) -> Mistakes:
-    """Compare what callers were told with what the targets ran.
+    """Compare the outcomes that callers received with what the targets ran.
 
     Args:
-        sent: What the load sent.
+        sent: The requests that the load sent.
         counts: The reports of all targets, with their marks.
-        excused: Marks of requests whose own router was killed under them; their
-            connection broke, and that is all that a caller can learn.
+        excused: Marks of requests whose router was killed while they were open; the
+            caller sees only a broken connection and can't learn the outcome.
 
     Returns:
-        The counts. Lost is a request that got neither a whole answer nor a clear
-        outcome; a stream that is cut and says so has one, and is unknown. Doubled
-        is a request that more than one attempt started for.
+        The counts. A request is lost if it got neither a complete answer nor a
+        definite outcome; a stream that reports its cut has the outcome unknown and is
+        not lost. A request is doubled if more than one attempt started for it.
     """
     started: Counter[str] = Counter()
     for report in counts:
@@ -166,25 +171,25 @@
             started[mark] += run.get("started", 0)
     lost = crossed = false_not_run = unknown = 0
     outcomes: Counter[str] = Counter()
-    for one in sent:
-        answer = one.answer
+    for request in sent:
+        answer = request.answer
         if answer is None:
             outcomes["given up"] += 1
             continue
         outcomes[answer.outcome or f"status {answer.status}"] += 1
         crossed += answer.crossed
         if answer.outcome == "not-run":
-            false_not_run += started[one.mark] > 0
-        elif answer.outcome == "unknown" and one.mark not in excused:
+            false_not_run += started[request.mark] > 0
+        elif answer.outcome == "unknown" and request.mark not in excused:
             unknown += 1
         if not answer.complete and answer.outcome not in ("not-run", "unknown"):
-            lost += one.mark not in excused
-    doubled = sum(number > 1 for number in started.values())
+            lost += request.mark not in excused
+    doubled = sum(starts > 1 for starts in started.values())
     return Mistakes(lost, doubled, crossed, false_not_run, unknown, dict(outcomes))
 
 
-def _runs(flags: Sequence[bool]) -> Iterable[tuple[int, int]]:
-    """Return start and end of each run of true flags."""
+def _true_spans(flags: Sequence[bool]) -> Iterable[tuple[int, int]]:
+    """Yield the start and the end (exclusive) of each span of true flags."""
     start: int | None = None
     for position, flag in enumerate([*flags, False]):
         if flag and start is None:
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -22,7 +22,13 @@
 
 
 def plot_run(run: Run, bound: float, file: Path) -> None:
-    """Draw service, gap and use of capacity over the phases of a run."""
+    """Plot service, gap and busy slots over the phases of a run.
+
+    Args:
+        run: The run.
+        bound: Bound on the gap in cost units per unit of share, for the title.
+        file: The image file to write.
+    """
     figure, axes = pyplot.subplots(3, 1, figsize=_FIGURE_INCHES, sharex=True)
     start = run.samples[0].at_seconds
     times = [sample.at_seconds - start for sample in run.samples]
@@ -33,7 +39,7 @@
         axes[0].plot(times, normalised, linewidth=width, label=customer.name)
     axes[0].set_ylabel("cost units / share")
     axes[0].legend(fontsize=5, ncol=2, loc="upper left")
-    for span in run.whole_spans():
+    for span in run.unpartitioned_spans():
         span_times = [sample.at_seconds - start for sample in span]
         axes[1].plot(span_times, gap_over_time(span, run.shares), color="tab:red")
     axes[1].set_ylabel("gap, cost units / share")
@@ -50,7 +56,7 @@
 
 
 def _plot_utilisation(run: Run, axis: Any, times: Sequence[float]) -> None:
-    """Draw the part of the slots that was busy, second by second."""
+    """Plot the busy fraction of the slots, averaged over four samples (one second)."""
     step = 4
     busy = [sample.busy_slot_seconds for sample in run.samples]
     values = [
@@ -65,7 +71,7 @@
 
 
 def phase_rows(run: Run) -> Sequence[Mapping[str, Any]]:
-    """Return the figures of each phase by itself."""
+    """Return the figures of each phase."""
     rows = []
     for phase in run.phases:
         samples = run.phase_samples(phase.name)
@@ -93,13 +99,13 @@
     """Write the Markdown report.
 
     Args:
-        folder: Where the plots are too.
-        figures: By deployment, variant and figure.
+        folder: The folder that also holds the plots.
+        figures: Values by deployment, variant and name of the figure.
         phases: Rows of `phase_rows` by deployment and variant.
-        notes: Sentences on what was run.
+        notes: Lines at the head of the report, which describe the run.
 
     Returns:
-        The file.
+        The path of the report.
     """
     lines = ["# Bench", "", *notes, ""]
     for deployment, variants in figures.items():
@@ -108,7 +114,7 @@
         lines += ["| figure | " + " | ".join(names) + " |"]
         lines += ["| --- |" + " --- |" * len(names)]
         for figure in next(iter(variants.values())):
-            cells = [_shown(variants[name].get(figure)) for name in names]
+            cells = [_format_figure(variants[name].get(figure)) for name in names]
             lines.append(f"| `{figure}` | " + " | ".join(cells) + " |")
         lines += ["", *_verdicts(variants), ""]
         for name in names:
@@ -121,74 +127,88 @@
 
 
 def _phase_table(rows: Sequence[Mapping[str, Any]]) -> Sequence[str]:
-    """Return the rows of a phase table."""
+    """Return the lines of the Markdown table of all phases."""
     columns = list(rows[0])
     lines = ["| " + " | ".join(columns) + " |", "|" + " --- |" * len(columns)]
-    lines += ["| " + " | ".join(_shown(r[c]) for c in columns) + " |" for r in rows]
+    lines += [
+        "| " + " | ".join(_format_figure(r[c]) for c in columns) + " |" for r in rows
+    ]
     return lines
 
 
 def _verdicts(variants: Mapping[str, Mapping[str, Any]]) -> Sequence[str]:
-    """Return for each figure to reach whether it was reached."""
-    ours = variants.get("sesameford", {})
-    base = variants.get("independent", {})
+    """Return a line for each target value, with whether the figures meet it."""
+    leased = variants.get("sesameford", {})
+    baseline = variants.get("independent", {})
     checks: list[tuple[str, float | None, float | None, bool]] = [
-        ("gap_max at most gap_bound", ours.get("gap_max"), ours.get("gap_bound"), True),
+        (
+            "gap_max at most gap_bound",
+            leased.get("gap_max"),
+            leased.get("gap_bound"),
+            True,
+        ),
         (
             "gap_max at most a fifth of the baseline's",
-            ours.get("gap_max"),
-            base["gap_max"] / 5 if base else None,
+            leased.get("gap_max"),
+            baseline["gap_max"] / 5 if baseline else None,
             True,
         ),
-        ("no starved customer", ours.get("starved_customers"), 0, True),
+        ("no starved customer", leased.get("starved_customers"), 0, True),
         (
             "utilisation at least 0.97",
-            ours.get("utilisation_while_backlogged"),
+            leased.get("utilisation_while_backlogged"),
             0.97,
             False,
         ),
         (
             "utilisation no lower than the baseline's",
-            ours.get("utilisation_while_backlogged"),
-            base.get("utilisation_while_backlogged"),
+            leased.get("utilisation_while_backlogged"),
+            baseline.get("utilisation_while_backlogged"),
             False,
         ),
         (
             "control at most 2,048 bytes/s an instance",
-            ours.get("control_bytes_per_instance_second"),
+            leased.get("control_bytes_per_instance_second"),
             2048,
             True,
         ),
         (
             "control at most 1.3% of a core",
-            ours.get("control_cpu_fraction"),
+            leased.get("control_cpu_fraction"),
             0.013,
             True,
         ),
         (
             "first token at most 10 ms later",
-            ours.get("first_token_added_p95_seconds"),
+            leased.get("first_token_added_p95_seconds"),
             0.010,
             True,
         ),
-        ("nothing lost", ours.get("lost"), 0, True),
-        ("nothing doubled", ours.get("doubled"), 0, True),
-        ("nothing crossed", ours.get("crossed"), 0, True),
+        ("nothing lost", leased.get("lost"), 0, True),
+        ("nothing doubled", leased.get("doubled"), 0, True),
+        ("nothing crossed", leased.get("crossed"), 0, True),
     ]
     return [_verdict(*check) for check in checks]
 
 
 def _verdict(name: str, value: float | None, limit: float | None, at_most: bool) -> str:
-    """Return one line of the verdict."""
+    """Return the line for one target value.
+
+    Args:
+        name: What is checked.
+        value: The measured figure, or None.
+        limit: The target value, or None.
+        at_most: Whether the limit is the highest good value rather than the lowest.
+    """
     if value is None or limit is None:
         return f"- {name}: NOT MEASURED"
     holds = value <= limit if at_most else value >= limit
     word = "holds" if holds else "MISSED"
-    return f"- {name}: {word} ({_shown(value)}, limit {_shown(limit)})"
+    return f"- {name}: {word} ({_format_figure(value)}, limit {_format_figure(limit)})"
 
 
-def _shown(value: Any) -> str:
-    """Return a figure for a table."""
+def _format_figure(value: Any) -> str:
+    """Return a figure as text for a table."""
     if value is None:
         return "not measured"
     return f"{value:.4g}" if isinstance(value, float) else str(value)
--- a/benchmarks/scenario.py
+++ b/benchmarks/scenario.py
@@ -1,4 +1,4 @@
-"""Runs one deployment under one variant through all phases, and measures it."""
+"""Runs one deployment under one scheduler through all phases and measures it."""
 
 import asyncio
 import random
@@ -52,7 +52,13 @@
 
 @dataclass(slots=True)
 class Run:
-    """Everything observed of one run."""
+    """The settings and all measurements of one run.
+
+    ``control`` holds the rates of control traffic by phase; ``direct_seconds`` and
+    ``through_seconds`` are times to the first token, at an engine and through an
+    instance. ``killed`` is the id of the restarted instance with the monotonic times
+    of its kill and of its return.
+    """
 
     shape: Shape
     variant: str
@@ -71,19 +77,19 @@
 
     @property
     def shares(self) -> Mapping[str, float]:
-        """Return each customer's share."""
+        """Return the share of each customer by its name."""
         return {customer.name: customer.share for customer in self.customers}
 
     def phase_samples(self, *names: str) -> Sequence[Sample]:
         """Return the samples of some phases."""
         return [sample for sample in self.samples if sample.phase in names]
 
-    def whole_spans(self) -> Sequence[Sequence[Sample]]:
-        """Return the stretches of samples in which the network was whole."""
+    def unpartitioned_spans(self) -> Sequence[Sequence[Sample]]:
+        """Return the spans of samples during which the network was not partitioned."""
         spans: list[list[Sample]] = [[]]
-        broken = {phase.name for phase in self.phases if not phase.is_network_whole}
+        cut_phases = {phase.name for phase in self.phases if not phase.is_network_whole}
         for sample in self.samples:
-            if sample.phase in broken:
+            if sample.phase in cut_phases:
                 spans.append([])
             else:
                 spans[-1].append(sample)
@@ -102,12 +108,12 @@
     Args:
         shape: The deployment.
         variant: ``sesameford`` or ``independent``.
-        phases: What to ask, one after the other.
+        phases: The phases of the load, in order.
         calm_seconds: How long to compare first tokens while capacity is free.
-        folder: An empty folder for logs.
+        folder: An empty folder for settings, logs and data.
 
     Returns:
-        What was observed.
+        The measurements.
     """
     scheduler = "leased" if variant == "sesameford" else "independent"
     async with Fleet(shape, folder) as fleet:
@@ -130,7 +136,7 @@
             await _compare_first_tokens(run, fleet, session, calm_seconds)
             await _run_phases(run, fleet, session)
             reports = await _read_counts(fleet, session, marks=True)
-        run.mistakes = count_mistakes(run.sent, reports, _excused(run))
+        run.mistakes = count_mistakes(run.sent, reports, _marks_open_at_kill(run))
         run.exit_codes = dict(await fleet.stop_all())
     return run
 
@@ -138,8 +144,8 @@
 async def _compare_first_tokens(
     run: Run, fleet: Fleet, session: ClientSession, seconds: float
 ) -> None:
-    """Measure the first token directly and through an instance, in turn."""
-    source = random.Random(SEED)
+    """Measure the time to the first token, directly and through an instance in turn."""
+    order = random.Random(SEED)
     engines = [m for m in fleet.targets.values() if m.kind == "engine"]
     instances = list(fleet.instances.values())
     pairs = int(seconds * CALM_PAIRS_PER_SECOND)
@@ -152,7 +158,7 @@
             ("direct", direct, run.direct_seconds),
             ("through", through, run.through_seconds),
         ]
-        source.shuffle(ways)
+        order.shuffle(ways)
         for way, url, results in ways:
             work = Work(
                 f"calm{number}.{way}",
@@ -175,9 +181,9 @@
     for phase in run.phases:
         load.set_phase(phase)
         run.phase_starts.append((phase.name, time.monotonic()))
-        acting = asyncio.create_task(_act(run, fleet, load, phase))
+        injecting = asyncio.create_task(_inject_fault(run, fleet, load, phase))
         await _sample_phase(run, fleet, session, load, phase)
-        await acting
+        await injecting
         after = await _read_control(fleet, session)
         run.control[phase.name] = _control_rates(before, after)
         before = after
@@ -190,8 +196,8 @@
     }
 
 
-async def _act(run: Run, fleet: Fleet, load: Load, phase: Phase) -> None:
-    """Bring about what a phase is named for."""
+async def _inject_fault(run: Run, fleet: Fleet, load: Load, phase: Phase) -> None:
+    """Inject the fault of a phase: a kill, a partition or the end of the partition."""
     if phase.name == "restart":
         victim = next(iter(fleet.instances.values()))
         load.down.add(victim.member_id)
@@ -209,7 +215,7 @@
 async def _sample_phase(
     run: Run, fleet: Fleet, session: ClientSession, load: Load, phase: Phase
 ) -> None:
-    """Sample true service and backlog until the phase is over."""
+    """Sample true service and backlog until the end of a phase."""
     end_at = time.monotonic() + phase.seconds
     while time.monotonic() < end_at:
         next_at = time.monotonic() + SAMPLE_SECONDS
@@ -221,7 +227,7 @@
 def _make_sample(
     reports: Sequence[Mapping[str, Any]], load: Load, phase: Phase
 ) -> Sample:
-    """Add up what the engines counted."""
+    """Return a sample with the sums of the engines' counts."""
     now_seconds = time.monotonic()
     service: dict[str, float] = {}
     busy, slots = 0.0, 0
@@ -239,21 +245,23 @@
 async def _read_counts(
     fleet: Fleet, session: ClientSession, marks: bool
 ) -> Sequence[Mapping[str, Any]]:
-    """Return the reports of all targets."""
+    """Return the counts of all targets, with those of each mark if ``marks`` is set."""
 
-    async def one(member: Member) -> Mapping[str, Any]:
+    async def read_member(member: Member) -> Mapping[str, Any]:
         url = f"{member.url}/counts?marks={int(marks)}"
         async with session.get(url) as response:
             report: Mapping[str, Any] = await response.json()
             return report
 
-    return await asyncio.gather(*(one(member) for member in fleet.targets.values()))
+    return await asyncio.gather(
+        *(read_member(member) for member in fleet.targets.values())
+    )
 
 
 async def _read_control(
     fleet: Fleet, session: ClientSession
 ) -> Mapping[str, tuple[float, float, float]]:
-    """Return time, bytes and processor seconds of control for each instance."""
+    """Return time, control bytes and control CPU seconds of each reachable instance."""
     readings = {}
     for member in fleet.instances.values():
         try:
@@ -269,7 +277,7 @@
 
 
 def _sent_bytes(metrics: Metrics) -> float:
-    """Return the bytes of control, each counted once, at its sender."""
+    """Return the control bytes sent; each byte counts once, at its sender."""
     rows = metrics.rows("sesameford_control_bytes_total")
     return sum(value for labels, value in rows if labels["direction"] == "sent")
 
@@ -278,63 +286,67 @@
     before: Mapping[str, tuple[float, float, float]],
     after: Mapping[str, tuple[float, float, float]],
 ) -> dict[str, float]:
-    """Return control bytes a second and the part of a core, mean over instances.
+    """Return control bytes per second and CPU seconds per second, mean over instances.
 
-    An instance that was restarted within counts from zero again and is left out.
+    An instance that restarted between the readings counts from zero again and is left
+    out.
     """
     bytes_rates, cpu_rates = [], []
     for member_id, (at, size, cpu) in after.items():
-        since, old_size, old_cpu = before.get(member_id, (at, size, cpu))
-        if at > since and size >= old_size and cpu >= old_cpu:
-            bytes_rates.append((size - old_size) / (at - since))
-            cpu_rates.append((cpu - old_cpu) / (at - since))
+        old_at, old_size, old_cpu = before.get(member_id, (at, size, cpu))
+        if at > old_at and size >= old_size and cpu >= old_cpu:
+            bytes_rates.append((size - old_size) / (at - old_at))
+            cpu_rates.append((cpu - old_cpu) / (at - old_at))
     return {
         "bytes": float(numpy.mean(bytes_rates)) if bytes_rates else 0.0,
         "cpu": float(numpy.mean(cpu_rates)) if cpu_rates else 0.0,
     }
 
 
-def _excused(run: Run) -> frozenset[str]:
-    """Return the requests that were open at the killed router."""
+def _marks_open_at_kill(run: Run) -> frozenset[str]:
+    """Return the marks of the requests that were open at the killed instance."""
     member_id, killed_at, up_at = run.killed
     return frozenset(
-        one.mark
-        for one in run.sent
-        if one.instance_id == member_id
-        and one.sent_at_seconds <= up_at
+        sent.mark
+        for sent in run.sent
+        if sent.instance_id == member_id
+        and sent.sent_at_seconds <= up_at
         and (
-            one.answer is None
-            or one.sent_at_seconds + one.answer.total_seconds >= killed_at
+            sent.answer is None
+            or sent.sent_at_seconds + sent.answer.total_seconds >= killed_at
         )
     )
 
 
 def bound_of(shape: Shape) -> float:
-    """Return the derived bound on the gap, for the largest cost that is asked."""
+    """Return the derived bound on the service gap for the largest request of the load.
+
+    The bound is in cost units per unit of share.
+    """
     prompt_tokens = (PROMPT_CHARACTERS[1] + MARK_CHARACTERS) / TOKEN_CHARACTERS
     rates = ModelSettings("any")
-    largest = (
+    largest_cost_units = (
         COST_HIGH_TOKENS * rates.output_token_cost_units
         + prompt_tokens * rates.prompt_token_cost_units
     )
     return gap_bound(
         shape.engines * shape.engine_slots,
         shape.tokens_per_second * rates.output_token_cost_units,
-        largest,
+        largest_cost_units,
         FleetSettings().quantum_cost_units,
     )
 
 
 def figures_of(run: Run, bound: float) -> dict[str, Any]:
-    """Return the figures of a run, under the names of the last output line."""
-    gaps = [service_gap(span, run.shares) for span in run.whole_spans()]
-    whole = [sample for span in run.whole_spans() for sample in span]
-    whole_names = [phase.name for phase in run.phases if phase.is_network_whole]
-    control = [run.control[name] for name in whole_names if name in run.control]
+    """Return the figures of a run by their names in the JSON output."""
+    gaps = [service_gap(span, run.shares) for span in run.unpartitioned_spans()]
+    samples = [sample for span in run.unpartitioned_spans() for sample in span]
+    phase_names = [phase.name for phase in run.phases if phase.is_network_whole]
+    control = [run.control[name] for name in phase_names if name in run.control]
     mistakes = run.mistakes or Mistakes(0, 0, 0, 0, 0, {})
-    added = None
+    added_seconds = None
     if run.direct_seconds and run.through_seconds:
-        added = float(
+        added_seconds = float(
             numpy.percentile(run.through_seconds, 95)
             - numpy.percentile(run.direct_seconds, 95)
         )
@@ -342,10 +354,10 @@
         "gap_max": max((gap.maximum for gap in gaps), default=0.0),
         "gap_p99": max((gap.p99 for gap in gaps), default=0.0),
         "gap_bound": bound,
-        "utilisation_while_backlogged": utilisation_while_backlogged(whole),
+        "utilisation_while_backlogged": utilisation_while_backlogged(samples),
         "control_bytes_per_instance_second": _mean(control, "bytes"),
         "control_cpu_fraction": _mean(control, "cpu"),
-        "first_token_added_p95_seconds": added,
+        "first_token_added_p95_seconds": added_seconds,
         "starved_customers": len(starved_customers(run.samples)),
         "lost": mistakes.lost,
         "doubled": mistakes.doubled,
@@ -358,5 +370,5 @@
 
 
 def _mean(rows: Sequence[Mapping[str, float]], name: str) -> float | None:
-    """Return the mean of a field, None without rows."""
+    """Return the mean of a field over all rows, or None without rows."""
     return float(numpy.mean([row[name] for row in rows])) if rows else None
