--- a/benchmarks/fairness_bench.py
+++ b/benchmarks/fairness_bench.py
@@ -1,10 +1,11 @@
-"""Fair service in virtual time: leased slots against routers without accounts.
+"""Compares fairness of leased slots and independent routers in virtual time.
 
-Both deployments of today with 8 routers and 16 customers, of which three are large
-and enter through one or two routers. Costs are lognormal over two decades, hints
-wrong by up to four times, the load 1.6 of the capacity. Phases: steady, one small
-customer floods, customers come and go, a router restarts empty, a data centre is
-cut off, and the network whole again. The last line is one JSON object.
+It simulates both deployments with 8 routers and 16 customers. Three customers are
+large and enter through one or two routers. Costs are lognormal over two decades, cost
+hints are wrong by up to a factor of four, and the load is 1.6 times the capacity. The
+phases are: steady load, a burst of one small customer, changing loads of customers, a
+router that restarts without state, a partitioned data centre, and the network after
+the partition. The last line printed is one JSON object.
 
 Run it with ``python -m benchmarks.fairness_bench``.
 """
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """A shape: engines by data centre, and how far the data centres are apart."""
+    """Engines by data centre, and the delay between data centres."""
 
     engines: Mapping[str, int]
     delay_seconds: float
@@ -68,7 +69,11 @@
 
 
 class Load:
-    """Open arrivals: rates and routers of entry by customer."""
+    """An open load: arrival rate and entry routers of each customer.
+
+    ``rates`` holds requests per second; ``entries`` holds the routers that receive a
+    customer's requests.
+    """
 
     def __init__(self, slots: int, routers: list[str], seed: int) -> None:
         self.random = Random(seed)
@@ -85,19 +90,19 @@
         self._mu = log(MEAN_COST_UNITS) - COST_SIGMA**2 / 2.0
 
     def arrive(self, fleet: VirtualFleet) -> None:
-        """Let the requests of one step enter."""
+        """Submit the requests that arrive during one step."""
         for customer, rate in self.rates.items():
-            for _ in range(self._number(rate * STEP_SECONDS)):
+            for _ in range(self._draw_count(rate * STEP_SECONDS)):
                 cost = self.random.lognormvariate(self._mu, COST_SIGMA)
                 cost = min(max(cost, 1.0), LARGEST_COST_UNITS)
                 hint = cost * HINT_ERROR ** self.random.uniform(-1.0, 1.0)
                 router = self.random.choice(self.entries[customer])
                 fleet.submit(router, customer, cost, hint)
 
-    def _number(self, expected: float) -> int:
-        """Return how many arrive where some number is expected."""
-        whole = int(expected)
-        return whole + (self.random.random() < expected - whole)
+    def _draw_count(self, expected: float) -> int:
+        """Return a random number of arrivals with the expected mean."""
+        floor = int(expected)
+        return floor + (self.random.random() < expected - floor)
 
 
 def run_variant(
@@ -106,16 +111,19 @@
     """Run all phases and return the figures.
 
     Args:
-        deployment: The shape.
-        make_scheduler: The variant.
-        seconds: Length of a phase.
-        seed: Of arrivals and of the network.
+        deployment: The deployment to simulate.
+        make_scheduler: Factory of the scheduler to measure.
+        seconds: Length of a phase in virtual seconds.
+        seed: Seed of the arrivals and of the network.
 
     Returns:
-        Figures by name; gaps in cost units.
+        Figures by name; gaps are in cost units.
     """
-    places = sorted(deployment.engines)
-    routers = {f"e{number}": places[number % len(places)] for number in range(ROUTERS)}
+    data_centres = sorted(deployment.engines)
+    routers = {
+        f"e{number}": data_centres[number % len(data_centres)]
+        for number in range(ROUTERS)
+    }
     targets = make_targets(deployment.engines, SLOTS)
     limits = LimitSettings(queued_requests=10**9, queued_bytes=10**12)
     load = Load(len(targets) * SLOTS, sorted(routers), seed)
@@ -136,19 +144,19 @@
     for phase in PHASES:
         _enter_phase(phase, fleet, load, deployment)
         served = dict(fleet.served)
-        waited = fleet.backlogged()
+        backlogged = fleet.backlogged()
         fleet.gaps = GapMeter(dict.fromkeys(load.customers, 1.0))
         fleet.run(seconds, load.arrive)
         phases[phase] = round(fleet.gaps.widest, 1)
         starved.update(
             customer
-            for customer in waited & fleet.backlogged()
+            for customer in backlogged & fleet.backlogged()
             if fleet.served.get(customer, 0.0) <= served.get(customer, 0.0)
         )
         if phase != "cut-off":
             samples.extend(fleet.gaps.samples)
     counted = fleet.counted
-    spent = seconds * len(PHASES) * ROUTERS
+    router_seconds = seconds * len(PHASES) * ROUTERS
     busy = counted.busy_slot_seconds - warm.busy_slot_seconds
     offered = counted.backlogged_slot_seconds - warm.backlogged_slot_seconds
     decide_seconds = counted.decide_seconds - warm.decide_seconds
@@ -163,19 +171,21 @@
         "gap_by_phase": phases,
         "utilisation_while_backlogged": round(busy / offered, 4),
         "control_bytes_per_instance_second": round(
-            (counted.bytes_sent - warm.bytes_sent) / spent
+            (counted.bytes_sent - warm.bytes_sent) / router_seconds
         ),
         "control_messages_per_instance_second": round(
-            (counted.messages_sent - warm.messages_sent) / spent, 2
+            (counted.messages_sent - warm.messages_sent) / router_seconds, 2
+        ),
+        "processor_seconds_per_instance_second": round(
+            decide_seconds / router_seconds, 4
         ),
-        "processor_seconds_per_instance_second": round(decide_seconds / spent, 4),
         "processor_seconds_per_request": round(decide_seconds / started, 6),
         "started": started,
     }
 
 
 def _unserved_cost() -> float:
-    """Return what of a running request is not yet served, on average."""
+    """Return the mean cost units of a running request that are not served yet."""
     random = Random(0)
     mu = log(MEAN_COST_UNITS) - COST_SIGMA**2 / 2.0
     costs = [
@@ -188,7 +198,7 @@
 def _enter_phase(
     phase: str, fleet: VirtualFleet, load: Load, deployment: Deployment
 ) -> None:
-    """Change what a phase changes; the others go on as they were."""
+    """Apply the changes to load, routers and network at the start of a phase."""
     small = load.customers[-1]
     if phase == "flood":
         load.rates[small] *= 20.0
@@ -198,20 +208,24 @@
     elif phase == "restart":
         fleet.start_router("e1")
     elif phase == "cut-off":
-        lost = max(deployment.engines)
-        cut = {name for name, place in fleet.places.items() if place == lost}
-        fleet.network.cut = _between(cut)
+        cut_data_centre = max(deployment.engines)
+        cut_routers = {
+            name
+            for name, data_centre in fleet.places.items()
+            if data_centre == cut_data_centre
+        }
+        fleet.network.cut = _is_across(cut_routers)
     elif phase == "healed":
         fleet.network.cut = lambda sender, receiver: False
 
 
-def _between(cut: set[str]) -> Callable[[str, str], bool]:
-    """Return whether a message crosses the border of a set."""
-    return lambda sender, receiver: (sender in cut) != (receiver in cut)
+def _is_across(routers: set[str]) -> Callable[[str, str], bool]:
+    """Return a test whether a message enters or leaves a set of routers."""
+    return lambda sender, receiver: (sender in routers) != (receiver in routers)
 
 
 def main() -> None:
-    """Run what the arguments name and print the figures."""
+    """Run the chosen deployments and variants and print their figures."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=8.0, help="of a phase")
     parser.add_argument("--seed", type=int, default=1)
--- a/benchmarks/fairness_slopes.py
+++ b/benchmarks/fairness_slopes.py
@@ -1,7 +1,7 @@
-"""Slopes of fair service: what one data centre's router and allocator cost by size.
+"""Measures the cost of a data centre's router and allocator by the size of the fleet.
 
-One data centre at a time grows to its part of the target size: 51 routers, 30
-requests/s each, 314 backlogged customers. The last line is one JSON object.
+One data centre grows to its part of the target size: 51 routers with 30 requests/s
+each and 314 backlogged customers. The last line printed is one JSON object.
 
 Run it with ``python -m benchmarks.fairness_slopes``.
 """
@@ -40,15 +40,15 @@
 
 
 @dataclass(slots=True)
-class _Sent:
-    """Bytes and messages that left the routers other than the allocator's."""
+class _SentTotals:
+    """Bytes and messages sent by all routers except the one with the allocator."""
 
     bytes_sent: int = 0
     messages: int = 0
 
 
 def make_tree(customers: int) -> EffectiveTree:
-    """Return a tree with equal customers and roomy queues."""
+    """Return a tree with equal customers and practically unlimited queues."""
     limits = LimitSettings(queued_requests=10**9, queued_bytes=10**12)
     names = [f"c{number}" for number in range(customers)]
     return EffectiveTree(
@@ -61,21 +61,21 @@
 def measure_router(
     routers: int, customers: int, load: float, seconds: float
 ) -> dict[str, float]:
-    """Return what one router sends, and what the deciding code takes, per second.
+    """Return the traffic and the scheduler's CPU seconds of one router per second.
 
     Args:
-        routers: In the data centre.
-        customers: That enter, each through two routers.
-        load: Of the capacity; above one the customers are backlogged.
-        seconds: Of virtual time, after as long to settle.
+        routers: Number of routers in the data centre.
+        customers: Number of customers, each of which enters through two routers.
+        load: Load as a multiple of the capacity; above one, customers are backlogged.
+        seconds: Virtual seconds to measure, after as many seconds to settle.
     """
     engines = max(1, routers * SLOTS_PER_ROUTER // SLOTS_PER_TARGET)
     targets = make_targets({"a": engines}, SLOTS_PER_TARGET)
-    places = {f"e{number:03d}": "a" for number in range(routers)}
+    locations = {f"e{number:03d}": "a" for number in range(routers)}
     tree = make_tree(customers)
-    fleet = VirtualFleet(make_leased_scheduler, places, targets, tree, 1, Network())
+    fleet = VirtualFleet(make_leased_scheduler, locations, targets, tree, 1, Network())
     random = Random(1)
-    names = sorted(places)
+    names = sorted(locations)
     slots = engines * SLOTS_PER_TARGET
     rate = load * slots * 100.0 / MEAN_COST_UNITS
 
@@ -88,12 +88,12 @@
             cost = MEAN_COST_UNITS * 10.0 ** random.uniform(-0.8, 0.6) / 1.2
             fleet.submit(router, f"c{customer}", cost, cost)
 
-    sent = _Sent()
-    own_send = fleet._send
+    sent = _SentTotals()
+    original_send = fleet._send
 
     def send(sender: str, outgoing: object) -> None:
         before = (fleet.counted.bytes_sent, fleet.counted.messages_sent)
-        own_send(sender, outgoing)
+        original_send(sender, outgoing)
         if sender != names[0]:
             sent.bytes_sent += fleet.counted.bytes_sent - before[0]
             sent.messages += fleet.counted.messages_sent - before[1]
@@ -102,10 +102,10 @@
     fleet.run(seconds, arrive)
     sent.bytes_sent = sent.messages = 0
     total_before = fleet.counted.bytes_sent
-    began = fleet.counted.decide_seconds
+    decide_before = fleet.counted.decide_seconds
     started = fleet.counted.started
     fleet.run(seconds, arrive)
-    others = max(routers - 1, 1) * seconds
+    router_seconds = max(routers - 1, 1) * seconds
     allocator_bytes = fleet.counted.bytes_sent - total_before - sent.bytes_sent
     started = fleet.counted.started - started
     return {
@@ -113,11 +113,11 @@
         "customers": customers,
         "load": load,
         "requests_per_router_second": round(started / seconds / routers, 1),
-        "router_sent_bytes_per_second": round(sent.bytes_sent / others),
-        "router_received_bytes_per_second": round(allocator_bytes / others),
-        "router_messages_per_second": round(sent.messages / others, 2),
+        "router_sent_bytes_per_second": round(sent.bytes_sent / router_seconds),
+        "router_received_bytes_per_second": round(allocator_bytes / router_seconds),
+        "router_messages_per_second": round(sent.messages / router_seconds, 2),
         "processor_seconds_per_router_second": round(
-            (fleet.counted.decide_seconds - began) / seconds / routers, 4
+            (fleet.counted.decide_seconds - decide_before) / seconds / routers, 4
         ),
         "waiting_requests": sum(map(len, fleet.waiting.values())),
         "utilisation_while_backlogged": round(fleet.utilisation_while_backlogged(), 4),
@@ -125,7 +125,7 @@
 
 
 def measure_allocator(routers: int, customers: int) -> dict[str, float]:
-    """Return processor time of one report taken and one tick, and its bytes."""
+    """Return the allocator's CPU seconds per report and per tick, and its bytes."""
     allocator = Allocator("e000", "a")
     allocator.configure(make_tree(customers))
     engines = max(1, routers * SLOTS_PER_ROUTER // SLOTS_PER_TARGET)
@@ -133,49 +133,49 @@
     allocator.observe_targets(targets, {"m": "m"}, dict.fromkeys(targets, "a"))
     allocator.activate([], 0.0)
     now = 0.0
-    each = max(1, 2 * customers // routers)
+    router_customers = max(1, 2 * customers // routers)
 
-    def report(number: int, sequence: int, full: bool) -> ShareReport:
+    def make_report(number: int, sequence: int, full: bool) -> ShareReport:
         served = []
         demands = []
-        for index in range(each if full else 5):
-            customer = f"c{(number * each // 2 + index) % customers}"
+        for index in range(router_customers if full else 5):
+            customer = f"c{(number * router_customers // 2 + index) % customers}"
             served.append(ServedRow(customer, 100.0 * sequence))
             demands.append(DemandRow(customer, "m", 5 + sequence % 3, 700.0, 1.0))
         pools = (PoolReport("m", tuple(served), tuple(demands)),)
         return ShareReport(1, sequence, 10**9, full=full, pools=pools)
 
     for number in range(routers):
-        allocator.handle_report(f"e{number:03d}", 1, report(number, 1, True), now)
+        allocator.handle_report(f"e{number:03d}", 1, make_report(number, 1, True), now)
     allocator.tick(now)
     rounds = 6
-    take_seconds = tick_seconds = 0.0
+    report_seconds = tick_seconds = 0.0
     bytes_sent = 0
     for sequence in range(2, 2 + rounds):
         now += 0.5
-        began = process_time()
+        started_at = process_time()
         for number in range(routers):
             allocator.handle_report(
-                f"e{number:03d}", 1, report(number, sequence, False), now
+                f"e{number:03d}", 1, make_report(number, sequence, False), now
             )
-        taken = process_time()
+        reported_at = process_time()
         outgoing = allocator.tick(now)
-        tick_seconds += process_time() - taken
-        take_seconds += taken - began
-        for one in outgoing:
-            envelope = Envelope("e000", 1, 1, (1, 1), (one.message,))
+        tick_seconds += process_time() - reported_at
+        report_seconds += reported_at - started_at
+        for item in outgoing:
+            envelope = Envelope("e000", 1, 1, (1, 1), (item.message,))
             bytes_sent += len(encode_envelope(envelope)) + WIRE_OVERHEAD_BYTES
     return {
         "routers": routers,
         "customers": customers,
-        "report_seconds": round(take_seconds / rounds / routers, 6),
+        "report_seconds": round(report_seconds / rounds / routers, 6),
         "tick_seconds": round(tick_seconds / rounds, 5),
         "answer_bytes_per_router": round(bytes_sent / rounds / routers),
     }
 
 
 def measure(seconds: float) -> dict[str, list[dict[str, float]]]:
-    """Return all slopes."""
+    """Return the rows of all routers' and allocators' sizes."""
     routers = [
         measure_router(size, customers, load, seconds)
         for size, customers in SIZES
@@ -186,7 +186,7 @@
 
 
 def main() -> None:
-    """Measure and print the slopes."""
+    """Measure and print all rows."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=3.0)
     results = measure(parser.parse_args().seconds)
--- a/benchmarks/outcomes.py
+++ b/benchmarks/outcomes.py
@@ -1,8 +1,9 @@
-"""Times and shares behind outcomes, on real daemons: ``python -m benchmarks.outcomes``.
+"""Measures the reaction of real daemons to faults: ``python -m benchmarks.outcomes``.
 
-It measures the time from a leave and from a silent death to the last new work at any
-router, the share of retries in an outage, and how long a silent stream takes to go
-on. The last line is one flat JSON object. Some 40 seconds.
+It measures the time from a target's leave or silent death to the last request that any
+router sends to it, the share of retries in an outage, and how long a silent stream
+takes to resume. The last line printed is one flat JSON object. A run takes about 40
+seconds.
 """
 
 import asyncio
@@ -28,7 +29,7 @@
 PAUSE_SECONDS = 0.02
 SILENCE_SECONDS = 1.0
 SILENT_STREAMS = 8
-WATCHED_SECONDS = 7.0
+OBSERVATION_SECONDS = 7.0
 OUTAGE_SECONDS = 5.0
 
 
@@ -42,10 +43,10 @@
             "Sesameford-Deadline-Seconds": "4",
         }
         self.figures: dict[str, float] = {}
-        self._over = asyncio.Event()
+        self._finished = asyncio.Event()
 
     async def run(self) -> None:
-        """Take all figures."""
+        """Measure all figures."""
         async with ClientSession(connector=TCPConnector(limit=0)) as session:
             callers = [
                 asyncio.create_task(self._look_up(session, number))
@@ -55,14 +56,14 @@
             await self._measure_leave()
             await self._measure_silent_death()
             await self._measure_outage(session)
-            self._over.set()
+            self._finished.set()
             await asyncio.gather(*callers)
             await self._measure_silent_streams(session)
 
     async def _look_up(self, session: ClientSession, number: int) -> None:
         members = list(self.fleet.instances.values())
         count = 0
-        while not self._over.is_set():
+        while not self._finished.is_set():
             member = members[(number + count) % len(members)]
             count += 1
             url = f"{member.url}/services/{SHAPE.service_names[0]}/x?mark=m{number}"
@@ -71,44 +72,50 @@
             await asyncio.sleep(PAUSE_SECONDS)
 
     async def _measure_leave(self) -> None:
-        """Stop a service gracefully, which says that it leaves."""
+        """Stop a service gracefully, so that it announces its leave."""
         target = self.fleet.targets["service1-a"]
-        began_at = time.monotonic()
+        started_at = time.monotonic()
         assert target.process is not None
         target.process.terminate()
-        self.figures["leave_to_last_new_work_seconds"] = await self._last_work(
-            "service1", began_at
+        self.figures["leave_to_last_new_work_seconds"] = await self._last_request(
+            "service1", started_at
         )
 
     async def _measure_silent_death(self) -> None:
-        """Freeze a service: it takes connections, says nothing, renews no lease."""
+        """Freeze a service with SIGSTOP.
+
+        The kernel still accepts connections for it, but the service answers nothing
+        and renews no lease.
+        """
         target = self.fleet.targets["service2-b"]
-        began_at = time.monotonic()
+        started_at = time.monotonic()
         assert target.process is not None
         target.process.send_signal(signal.SIGSTOP)
-        self.figures["silent_death_to_last_new_work_seconds"] = await self._last_work(
-            "service2", began_at
-        )
+        self.figures[
+            "silent_death_to_last_new_work_seconds"
+        ] = await self._last_request("service2", started_at)
         target.process.send_signal(signal.SIGCONT)
 
-    async def _last_work(self, name: str, began_at: float) -> float:
-        """Return how long after a moment the last request was sent to a target."""
-        await asyncio.sleep(WATCHED_SECONDS)
+    async def _last_request(self, name: str, started_at: float) -> float:
+        """Return the seconds from a time to the last request sent to a target.
+
+        They are negative if the last request was sent before that time.
+        """
+        await asyncio.sleep(OBSERVATION_SECONDS)
         sent = self.fleet.proxies[name].requests_at_seconds
-        # Below zero where the last one was sent before that moment.
-        return max(sent) - began_at
+        return max(sent) - started_at
 
     async def _measure_outage(self, session: ClientSession) -> None:
-        """Kill all services and count attempts while none is there."""
-        early = await self._attempts(session)
+        """Kill all services and count the attempts during the outage."""
+        initial = await self._read_attempts(session)
         await asyncio.sleep(OUTAGE_SECONDS)
-        before = await self._attempts(session)
-        usual = before[0] - early[0]
+        before = await self._read_attempts(session)
+        usual = before[0] - initial[0]
         for target in self.fleet.targets.values():
             if target.kind == "service":
                 await self.fleet.kill(target)
         await asyncio.sleep(OUTAGE_SECONDS)
-        after = await self._attempts(session)
+        after = await self._read_attempts(session)
         firsts, retries = after[0] - before[0], after[1] - before[1]
         self.figures["outage_first_attempts"] = firsts
         self.figures["outage_retries"] = retries
@@ -118,7 +125,8 @@
             if not target.alive:
                 await self.fleet.launch(target)
 
-    async def _attempts(self, session: ClientSession) -> tuple[float, float]:
+    async def _read_attempts(self, session: ClientSession) -> tuple[float, float]:
+        """Return the counts of first attempts and of retries over all instances."""
         firsts = retries = 0.0
         for member in self.fleet.instances.values():
             metrics = await read_metrics(session, member.url)
@@ -127,14 +135,15 @@
         return firsts, retries
 
     async def _measure_silent_streams(self, session: ClientSession) -> None:
-        """Silence the connections of running streams and time the gap."""
-        gaps = [await self._silent_stream(session, n) for n in range(SILENT_STREAMS)]
-        beyond = [gap - SILENCE_SECONDS for gap in gaps]
+        """Silence the connections of running streams and measure the gaps."""
+        gaps = [await self._stream_gap(session, n) for n in range(SILENT_STREAMS)]
+        recoveries = [gap - SILENCE_SECONDS for gap in gaps]
         self.figures["silent_stream_gap_seconds_median"] = median(gaps)
         self.figures["silent_stream_gap_seconds_max"] = max(gaps)
-        self.figures["silent_stream_recovery_seconds_max"] = max(beyond)
+        self.figures["silent_stream_recovery_seconds_max"] = max(recoveries)
 
-    async def _silent_stream(self, session: ClientSession, number: int) -> float:
+    async def _stream_gap(self, session: ClientSession, number: int) -> float:
+        """Return the longest gap in seconds in a stream after its silencing."""
         members = list(self.fleet.instances.values())
         body = {
             "model": SHAPE.models[0],
@@ -162,7 +171,7 @@
 
 
 async def run_bench() -> None:
-    """Start the fleet, take the figures and print them."""
+    """Start the fleet, measure the figures and print them."""
     shutil.rmtree(RUN_FOLDER, ignore_errors=True)
     customer = Customer("desk", "staff", 1.0, ())
     fleet = FaultyFleet(SHAPE, RUN_FOLDER, is_proxied=lambda position: True)
@@ -180,7 +189,7 @@
 
 
 def main() -> int:
-    """Run the measurement."""
+    """Run the measurement and return the exit code."""
     asyncio.run(run_bench())
     return 0
 
