--- a/benchmarks/links_bench.py
+++ b/benchmarks/links_bench.py
@@ -1,8 +1,8 @@
-"""What control costs an instance at rest, by the size of the fleet and its links.
+"""Measures control traffic of idle instances by fleet size, as a mesh and with hubs.
 
 ``python -m benchmarks.links_bench`` starts real daemons as a mesh and behind hubs,
-lets targets announce themselves, and counts bytes and processor time of control over
-some seconds in which no request comes. Its last line is one JSON object.
+lets targets announce themselves, and counts bytes and CPU time of control over some
+seconds without requests. Its last line is one JSON object.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 from tools.fleet import Fleet, Member, Shape, digest_of
 from tools.prometheus import read_metrics
 
-PLACES = ("a", "b", "c", "d", "e", "f", "g")
+DATA_CENTRES = ("a", "b", "c", "d", "e", "f", "g")
 SETTLE_SECONDS = 8.0
 TREE = f"""
 customers: {{children: {{club: {{key_digests: [{digest_of("key")}]}}}}}}
@@ -26,7 +26,7 @@
 
 
 async def read_control(session: ClientSession, member: Member) -> dict[str, float]:
-    """Return an instance's bytes and processor seconds of control so far."""
+    """Return an instance's control bytes and control CPU seconds since its start."""
     metrics = await read_metrics(session, member.url)
     totals = {"sent": 0.0, "received": 0.0}
     for labels, value in metrics.rows("sesameford_control_bytes_total"):
@@ -36,10 +36,20 @@
 
 
 async def measure(instances: int, has_hubs: bool, seconds: float) -> dict[str, float]:
-    """Return mean and largest rates of plain instances, and the largest of hubs."""
+    """Run an idle fleet and return its control rates.
+
+    Args:
+        instances: Number of instances.
+        has_hubs: Whether each data centre has a hub; else all instances are linked.
+        seconds: How long to count.
+
+    Returns:
+        Mean and largest rates of the instances that are no hubs, and the largest
+        rates of the hubs.
+    """
     shape = Shape(
         "links",
-        PLACES,
+        DATA_CENTRES,
         instances,
         3,
         engines=14,
@@ -54,37 +64,47 @@
             await asyncio.sleep(SETTLE_SECONDS)
             members = list(fleet.instances.values())
             started = monotonic()
-            before = [await read_control(session, one) for one in members]
+            before = [await read_control(session, member) for member in members]
             await asyncio.sleep(seconds)
-            after = [await read_control(session, one) for one in members]
+            after = [await read_control(session, member) for member in members]
             elapsed = monotonic() - started
     rates = [
         {key: (late[key] - early[key]) / elapsed for key in early}
         for early, late in zip(before, after, strict=True)
     ]
-    return summarise(rates, len(PLACES) if has_hubs else 0)
+    return summarise(rates, len(DATA_CENTRES) if has_hubs else 0)
 
 
 def summarise(rates: list[dict[str, float]], hubs: int) -> dict[str, float]:
-    """Return the figures of one fleet."""
+    """Return the figures of one fleet.
+
+    Args:
+        rates: Rates of each instance; those of the hubs come first.
+        hubs: Number of hubs.
+    """
     plain = rates[hubs:] or rates
-    both = [one["sent"] + one["received"] for one in plain]
+    totals = [rate["sent"] + rate["received"] for rate in plain]
     figures = {
-        "sent_bytes_per_second": sum(one["sent"] for one in plain) / len(plain),
-        "received_bytes_per_second": sum(one["received"] for one in plain) / len(plain),
-        "largest_bytes_per_second": max(both),
-        "cpu_fraction": sum(one["cpu"] for one in plain) / len(plain),
+        "sent_bytes_per_second": sum(rate["sent"] for rate in plain) / len(plain),
+        "received_bytes_per_second": sum(rate["received"] for rate in plain)
+        / len(plain),
+        "largest_bytes_per_second": max(totals),
+        "cpu_fraction": sum(rate["cpu"] for rate in plain) / len(plain),
     }
     if hubs:
-        set_aside = rates[:hubs]
-        largest = max(one["sent"] + one["received"] for one in set_aside)
+        hub_rates = rates[:hubs]
+        largest = max(rate["sent"] + rate["received"] for rate in hub_rates)
         figures["hub_largest_bytes_per_second"] = largest
-        figures["hub_cpu_fraction"] = max(one["cpu"] for one in set_aside)
+        figures["hub_cpu_fraction"] = max(rate["cpu"] for rate in hub_rates)
     return {key: round(value, 5) for key, value in figures.items()}
 
 
 async def apply_tree(session: ClientSession, fleet: Fleet) -> None:
-    """Apply the tree through the first instance, once a leader is there."""
+    """Apply the tree through the first instance, with retries until a leader exists.
+
+    Raises:
+        SystemExit: 30 attempts failed.
+    """
     await fleet.wait_up()
     first = next(iter(fleet.instances.values()))
     change = {"change_id": "links", "base_revision": 0, "declared": TREE}
@@ -99,7 +119,7 @@
 
 
 async def run(sizes: list[int], seconds: float) -> dict[str, dict[str, float]]:
-    """Measure all sizes as a mesh and behind hubs."""
+    """Return the figures of all sizes, as a mesh and behind hubs."""
     figures = {}
     for instances in sizes:
         for has_hubs in (False, True):
@@ -110,7 +130,7 @@
 
 
 def main() -> None:
-    """Run the bench and print its JSON object last."""
+    """Run the benchmark and print its JSON object on the last line."""
     parser = ArgumentParser(description=__doc__)
     parser.add_argument("--sizes", type=int, nargs="+", default=[14, 28, 42])
     parser.add_argument("--seconds", type=float, default=8.0)
--- a/benchmarks/log_bench.py
+++ b/benchmarks/log_bench.py
@@ -1,9 +1,9 @@
-"""Measures the replicated log: commits, restarts, and slopes for capacity.
+"""Measures the replicated log: commits, restarts, and slopes for capacity planning.
 
-Replicas run in one process, each with real files in a folder of its own, joined by
-a transport in memory. Latency therefore leaves the network out and is given beside
-the disk's own sync time of the same run. ``--sync-seconds`` adds the sync time of
-a slower disk. Prints JSON; run it from the root of the repository.
+The replicas run in one process with an in-memory transport, each with real files in
+its own folder. Latencies therefore exclude the network; the sync time of the disk in
+the same run is reported beside them. ``--sync-seconds`` simulates a slower disk. The
+output is JSON. Run it from the root of the repository.
 """
 
 import argparse
@@ -16,7 +16,7 @@
 
 import uvloop
 
-from benchmarks.log_fleet import COMMAND_BYTES, Fleet, percentiles, sync_seconds
+from benchmarks.log_fleet import COMMAND_BYTES, Fleet, measure_sync, percentiles
 from sesameford import log_replica
 from sesameford.claims import (
     Claim,
@@ -38,33 +38,33 @@
 async def commit_rounds(
     leader: LogService, batch: int, changes: int, label: str
 ) -> list[float]:
-    """Propose in rounds of one batch and return each round's time in seconds."""
+    """Propose changes in rounds of one batch and return the seconds of each round."""
     times = []
     for number in range(changes // batch):
-        begun = time.perf_counter()
+        started_at = time.perf_counter()
         await asyncio.gather(
             *(
                 leader.propose(f"{label}-{number}-{row}", "blob", bytes(COMMAND_BYTES))
                 for row in range(batch)
             )
         )
-        times.append(time.perf_counter() - begun)
+        times.append(time.perf_counter() - started_at)
     return times
 
 
 async def measure_commits(folder: Path, changes: int, in_thread: bool) -> list[dict]:
-    """Return latency and throughput for each batch and number of replicas."""
+    """Return latency and throughput for each batch size and number of replicas."""
     rows = []
     for size in (3, 5):
         fleet = Fleet(folder / f"commits-{size}-{in_thread}", size, in_thread)
         leader = await fleet.start()
         for batch in BATCHES:
-            disk = sync_seconds(folder, rounds=100)
-            begun = time.perf_counter()
-            processor = time.process_time()
-            rounds_changes = max(changes, 20 * batch)
-            times = await commit_rounds(leader, batch, rounds_changes, f"b{batch}")
-            elapsed = time.perf_counter() - begun
+            disk = measure_sync(folder, rounds=100)
+            started_at = time.perf_counter()
+            cpu_before = time.process_time()
+            batch_changes = max(changes, 20 * batch)
+            times = await commit_rounds(leader, batch, batch_changes, f"b{batch}")
+            elapsed = time.perf_counter() - started_at
             count = len(times) * batch
             rows.append(
                 {
@@ -75,7 +75,7 @@
                     **percentiles(times),
                     "changes_per_second": round(count / elapsed),
                     "processor_ms_per_change_all_replicas": round(
-                        (time.process_time() - processor) * 1000 / count, 4
+                        (time.process_time() - cpu_before) * 1000 / count, 4
                     ),
                 }
             )
@@ -84,23 +84,29 @@
 
 
 async def measure_restart(folder: Path, changes: int, snapshot: bool) -> dict:
-    """Return how long one replica takes to start after a number of changes."""
+    """Return the time that one replica takes to restart after a number of changes.
+
+    Args:
+        folder: Folder for the replica's files.
+        changes: Number of changes before the restart.
+        snapshot: Whether the replica takes snapshots.
+    """
     log_replica.SNAPSHOT_BYTES = _SNAPSHOT_BYTES if snapshot else sys.maxsize
-    target = folder / f"restart-{changes}-{snapshot}"
+    fleet_folder = folder / f"restart-{changes}-{snapshot}"
     snapshot_entries = min(SNAPSHOT_ENTRIES, changes // 2) if snapshot else changes * 2
-    fleet = Fleet(target, 1, False, snapshot_entries)
+    fleet = Fleet(fleet_folder, 1, False, snapshot_entries)
     leader = await fleet.start()
     await commit_rounds(leader, 100, changes, "r")
     await fleet.stop()
-    again = Fleet(target, 1, False, snapshot_entries)
-    begun = time.perf_counter()
-    leader = await again.start()
+    restarted = Fleet(fleet_folder, 1, False, snapshot_entries)
+    started_at = time.perf_counter()
+    leader = await restarted.start()
     while leader.status().applied_index < leader.status().last_index:
         await asyncio.sleep(0)
-    elapsed = time.perf_counter() - begun
-    disk_bytes = sum(file.stat().st_size for file in (target / "r0").iterdir())
+    elapsed = time.perf_counter() - started_at
+    disk_bytes = sum(file.stat().st_size for file in (fleet_folder / "r0").iterdir())
     status = leader.status()
-    await again.stop()
+    await restarted.stop()
     return {
         "changes": changes,
         "snapshot_index": status.snapshot_index,
@@ -111,21 +117,21 @@
 
 
 async def measure_slope(folder: Path, replicas: int, size_bytes: int) -> dict:
-    """Return processor time and bytes of one change of a size, and of idling."""
+    """Return CPU time and bytes of one change of a size, and of an idle fleet."""
     fleet = Fleet(folder / f"slope-{replicas}-{size_bytes}", replicas, False)
     leader = await fleet.start()
     await commit_rounds(leader, 1, 20, "warm")
-    processor = time.process_time()
+    cpu_before = time.process_time()
     sent, messages = fleet.sent_bytes, fleet.sent_messages
     count = 200
     for number in range(count):
         await leader.propose(f"s-{number}", "blob", bytes(size_bytes))
-    processor_seconds = time.process_time() - processor
+    cpu_seconds = time.process_time() - cpu_before
     row = {
         "replicas": replicas,
         "command_bytes": size_bytes,
         "processor_ms_per_change_and_replica": round(
-            processor_seconds * 1000 / count / replicas, 4
+            cpu_seconds * 1000 / count / replicas, 4
         ),
         "sent_bytes_per_change_all_replicas": round((fleet.sent_bytes - sent) / count),
         "messages_per_change_all_replicas": round(
@@ -133,9 +139,9 @@
         ),
     }
     sent, messages = fleet.sent_bytes, fleet.sent_messages
-    processor, begun = time.process_time(), time.perf_counter()
+    cpu_before, started_at = time.process_time(), time.perf_counter()
     await asyncio.sleep(2.0)
-    elapsed = time.perf_counter() - begun
+    elapsed = time.perf_counter() - started_at
     row["idle_sent_bytes_per_second_all_replicas"] = round(
         (fleet.sent_bytes - sent) / elapsed
     )
@@ -143,14 +149,14 @@
         (fleet.sent_messages - messages) / elapsed, 1
     )
     row["idle_processor_percent_of_a_core_per_replica"] = round(
-        (time.process_time() - processor) / elapsed / replicas * 100, 3
+        (time.process_time() - cpu_before) / elapsed / replicas * 100, 3
     )
     await fleet.stop()
     return row
 
 
 def claim_command(number: int) -> bytes:
-    """Return the claim of one keyed request."""
+    """Return the log command that claims the key of one request."""
     owner = ClaimOwner(f"r{number % 8}", 1_700_000_000_000, f"request-{number:020d}")
     key = f"{number:032x}"
     return encode_claim_command(
@@ -159,7 +165,12 @@
 
 
 def completion_command(number: int, claim_index: int) -> bytes:
-    """Return the end of one keyed request, whose answer its router keeps."""
+    """Return the log command that completes a keyed request; its router has the answer.
+
+    Args:
+        number: Number of the request.
+        claim_index: Log index of the claim.
+    """
     customer, key = f"customer-{number % 2200}", f"{number:032x}"
     at_seconds = float(number) / 100
     return encode_claim_command(
@@ -168,26 +179,26 @@
 
 
 async def measure_claims(folder: Path, replicas: int, batch: int) -> dict:
-    """Return what one keyed request costs, its claim and its completion together."""
+    """Return the cost of one keyed request: its claim and its completion together."""
     fleet = Fleet(folder / f"claims-{replicas}-{batch}", replicas, False)
     leader = await fleet.start()
     leader_id = leader.leader_id() or ""
-    processor, sent = time.process_time(), fleet.sent_bytes
+    cpu_before, sent = time.process_time(), fleet.sent_bytes
     leader_sent = fleet.sent_bytes_by[leader_id]
     requests = 512
 
-    async def one(number: int) -> None:
+    async def run_request(number: int) -> None:
         await leader.propose(f"c-{number}", "claims", claim_command(number))
         command = completion_command(number, 1)
         await leader.propose(f"d-{number}", "claims", command)
 
     for first in range(0, requests, batch):
-        await asyncio.gather(*(one(first + row) for row in range(batch)))
+        await asyncio.gather(*(run_request(first + row) for row in range(batch)))
     row = {
         "replicas": replicas,
         "requests_at_once": batch,
         "processor_ms_per_request_and_replica": round(
-            (time.process_time() - processor) * 1000 / requests / replicas, 4
+            (time.process_time() - cpu_before) * 1000 / requests / replicas, 4
         ),
         "sent_bytes_per_request_all_replicas": round(
             (fleet.sent_bytes - sent) / requests
@@ -201,13 +212,13 @@
 
 
 def measure_claims_snapshot(claims: int) -> dict:
-    """Return size and time of a snapshot of so many claims, taken on the loop."""
+    """Return size and time of a snapshot of some claims, made on the event loop."""
     machine = ClaimsMachine()
     for number in range(claims):
         machine.apply(number + 1, claim_command(number))
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     size_bytes = len(machine.snapshot())
-    elapsed = time.perf_counter() - begun
+    elapsed = time.perf_counter() - started_at
     return {
         "claims": claims,
         "kept": len(machine),
@@ -217,21 +228,21 @@
 
 
 def slow_down_syncs(seconds: float) -> None:
-    """Let each sync of the log take at least so long, as on a slower disk."""
+    """Delay each sync of the log, as a slower disk would."""
     from sesameford import log_storage
 
-    real = log_storage.sync_data
+    original_sync = log_storage.sync_data
 
-    def slow(descriptor: int, file: Path, offset_bytes: int) -> None:
+    def slow_sync(descriptor: int, file: Path, offset_bytes: int) -> None:
         time.sleep(seconds)
-        real(descriptor, file, offset_bytes)
+        original_sync(descriptor, file, offset_bytes)
 
-    log_storage.sync_data = slow
+    log_storage.sync_data = slow_sync
 
 
 async def measure(arguments: argparse.Namespace, folder: Path) -> dict:
-    """Return all that was asked for."""
-    report: dict = {"sync_of_the_disk": sync_seconds(folder)}
+    """Run the requested parts and return their results by name."""
+    report: dict = {"sync_of_the_disk": measure_sync(folder)}
     if "commits" in arguments.parts:
         report["commits"] = [
             *await measure_commits(folder, arguments.changes, in_thread=False),
--- a/benchmarks/log_fleet.py
+++ b/benchmarks/log_fleet.py
@@ -1,4 +1,4 @@
-"""Log replicas in one process for the benches, and the disk's own sync time."""
+"""Log replicas in one process for the benchmarks, and the sync time of the disk."""
 
 import asyncio
 import os
@@ -21,7 +21,7 @@
 
 
 class BlobMachine:
-    """Keeps the newest commands of a fixed number of keys."""
+    """A state machine that stores the newest command of each of 1,000 keys."""
 
     name = "blob"
     keys = 1000
@@ -30,21 +30,28 @@
         self.rows: dict[int, bytes] = {}
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Keep a command and answer with its index."""
+        """Store a command and return its index."""
         self.rows[index % self.keys] = command
         return b"%d" % index
 
     def snapshot(self) -> bytes:
-        """Return all rows, which have one length."""
+        """Return the concatenation of all rows, which have the same length."""
         return b"".join(self.rows.values())
 
     def restore(self, snapshot: bytes) -> None:
-        """Forget all rows; the measurement does not read them."""
+        """Clear all rows; the benchmarks do not read them after a restore."""
         self.rows = {}
 
 
 class Fleet:
-    """Replicas in one process on the loop's clock."""
+    """Log replicas in one process that exchange messages in memory.
+
+    Args:
+        folder: Parent of the replicas' data folders.
+        size: Number of replicas.
+        sync_in_thread: Whether the replicas sync their files in a thread.
+        snapshot_entries: Number of applied entries after which a snapshot is due.
+    """
 
     def __init__(
         self,
@@ -64,7 +71,7 @@
                 self.names,
                 folder / name,
                 (BlobMachine(), FencingMachine(), ClaimsMachine()),
-                self._sender(name),
+                self._make_sender(name),
                 time.monotonic,
                 seed=position,
                 sync_in_thread=sync_in_thread,
@@ -100,7 +107,7 @@
                 service.tick(time.monotonic())
             await asyncio.sleep(TICK_SECONDS)
 
-    def _sender(self, sender: str) -> Callable[[str, Message], None]:
+    def _make_sender(self, sender: str) -> Callable[[str, Message], None]:
         def send(receiver: str, message: Message) -> None:
             self.sent_messages += 1
             size_bytes = len(encode(message))
@@ -113,23 +120,23 @@
         return send
 
 
-def sync_seconds(folder: Path, rounds: int = 200) -> dict[str, float]:
-    """Return the disk's own time for appending and syncing one command."""
+def measure_sync(folder: Path, rounds: int = 200) -> dict[str, float]:
+    """Return percentiles of the disk's time to append and sync one command."""
     times = []
     descriptor = os.open(folder / "sync-probe", os.O_WRONLY | os.O_CREAT | os.O_APPEND)
     try:
         for _ in range(rounds):
-            begun = time.perf_counter()
+            started_at = time.perf_counter()
             os.write(descriptor, bytes(COMMAND_BYTES))
             os.fdatasync(descriptor)
-            times.append(time.perf_counter() - begun)
+            times.append(time.perf_counter() - started_at)
     finally:
         os.close(descriptor)
     return percentiles(times)
 
 
 def percentiles(seconds: Sequence[float]) -> dict[str, float]:
-    """Return median, 99th percentile and maximum in milliseconds."""
+    """Return the median, the 99th percentile and the maximum in milliseconds."""
     return {
         "p50_ms": round(median(seconds) * 1000, 3),
         "p99_ms": round(quantiles(seconds, n=100, method="inclusive")[98] * 1000, 3),
--- a/benchmarks/pass_through.py
+++ b/benchmarks/pass_through.py
@@ -1,4 +1,4 @@
-"""A bare pass-through of streams, to measure a router's relaying against.
+"""A minimal HTTP proxy for streams, the baseline for a router's relaying cost.
 
 ``python -m benchmarks.pass_through --port 9300 --target http://127.0.0.1:9001``
 """
@@ -13,7 +13,7 @@
 
 
 async def serve(port: int, target: str) -> None:
-    """Pass every completion to one target and its events back, for ever."""
+    """Forward every completion to one target and relay its events until cancelled."""
     async with ClientSession(
         connector=TCPConnector(limit=0), auto_decompress=False
     ) as session:
@@ -38,7 +38,7 @@
 
 
 def main() -> None:
-    """Run until a signal."""
+    """Run the proxy until a signal ends it."""
     parser = ArgumentParser(description="Pass completions through.")
     parser.add_argument("--port", type=int, required=True)
     parser.add_argument("--target", required=True)
