--- a/benchmarks/router_slopes.py
+++ b/benchmarks/router_slopes.py
@@ -1,8 +1,8 @@
-"""Slopes of a router: requests, tokens relayed, instances, and resident memory.
+"""Measures a router's cost per request, relayed token and instance, and its memory.
 
-Run with ``python -m benchmarks.router_slopes``; ``--output json`` for the slopes.
-Real daemons and stand-ins on loopback; processor time is what the kernel counted for
-the daemon's process, or what the daemon itself counts for control.
+Run with ``python -m benchmarks.router_slopes``; ``--output json`` prints one line. It
+starts real daemons and stand-ins on loopback. CPU time is that of the daemon's process
+as the kernel counts it, or for control as the daemon counts it itself.
 """
 
 import asyncio
@@ -28,10 +28,10 @@
 from tools.shapes import HOST, ROOT, Shape
 from tools.trees import Customer, make_tree
 
-TOKENS = (1, 40, 120)
+TOKEN_COUNTS = (1, 40, 120)
 REQUESTS = 240
-CONCURRENT = 48
-INSTANCES = (4, 8, 16)
+CONCURRENT_REQUESTS = 48
+INSTANCE_COUNTS = (4, 8, 16)
 IDLE_SECONDS = 6.0
 START_SECONDS = 2.0
 ENGINE_TOKENS_PER_SECOND = 60.0
@@ -41,8 +41,8 @@
 )
 
 
-async def _relay_costs(folder: Path) -> Mapping[str, float]:
-    """Return processor seconds of a router per request and per token."""
+async def _measure_relay(folder: Path) -> Mapping[str, float]:
+    """Return CPU seconds per request and per token of a router and of a bare proxy."""
     shape = Shape(
         "slopes",
         ("a",),
@@ -50,7 +50,7 @@
         1,
         1,
         1,
-        engine_slots=CONCURRENT,
+        engine_slots=CONCURRENT_REQUESTS,
         tokens_per_second=ENGINE_TOKENS_PER_SECOND,
     )
     customer = Customer("one", "all", 1.0, ())
@@ -60,15 +60,15 @@
         await apply_tree(fleet, tree)
         await wait_for_targets(fleet)
         member = next(iter(fleet.instances.values()))
-        router = await _slopes_of(member.pid, member.url, customer)
+        router = await _measure_process(member.pid, member.url, customer)
         engine = next(iter(fleet.targets.values()))
-        bare = await _bare_slopes(engine.url, customer)
+        bare = await _measure_bare_proxy(engine.url, customer)
         await fleet.stop_all()
     return router | {f"bare_{name}": value for name, value in bare.items()}
 
 
-async def _bare_slopes(target: str, customer: Customer) -> dict[str, float]:
-    """Return the same of a bare pass-through, in the same run."""
+async def _measure_bare_proxy(target: str, customer: Customer) -> dict[str, float]:
+    """Return CPU seconds per request and per token of `benchmarks.pass_through`."""
     (port,) = free_ports(1)
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -80,46 +80,54 @@
     )
     try:
         await asyncio.sleep(START_SECONDS)
-        return await _slopes_of(process.pid, f"http://{HOST}:{port}", customer)
+        return await _measure_process(process.pid, f"http://{HOST}:{port}", customer)
     finally:
         process.terminate()
         await process.wait()
 
 
-async def _slopes_of(pid: int, url: str, customer: Customer) -> dict[str, float]:
-    """Return processor seconds per request and per token of one process."""
+async def _measure_process(pid: int, url: str, customer: Customer) -> dict[str, float]:
+    """Return CPU seconds per request and per token of the process behind a URL."""
     seconds: list[float] = []
     process = psutil.Process(pid)
     async with ClientSession(connector=TCPConnector(limit=0)) as session:
-        for tokens in (TOKENS[0], *TOKENS):
+        for tokens in (TOKEN_COUNTS[0], *TOKEN_COUNTS):
             before = sum(process.cpu_times()[:2])
-            await _send(session, url, customer, tokens)
+            await _send_requests(session, url, customer, tokens)
             used = sum(process.cpu_times()[:2]) - before
             seconds.append(used / REQUESTS)
-    # The first round only warms connections and caches up.
-    per_token, per_request = numpy.polyfit(TOKENS, seconds[1:], 1)
+    # The first round only warms up connections and caches.
+    per_token, per_request = numpy.polyfit(TOKEN_COUNTS, seconds[1:], 1)
     return {"request_seconds": float(per_request), "token_seconds": float(per_token)}
 
 
-async def _send(
+async def _send_requests(
     session: ClientSession, url: str, customer: Customer, tokens: int
 ) -> None:
-    """Send all requests of one size, some at a time."""
-    places = asyncio.Semaphore(CONCURRENT)
+    """Send all requests of one size, `CONCURRENT_REQUESTS` at a time.
 
-    async def one(number: int) -> None:
-        async with places:
+    Raises:
+        RuntimeError: An answer is not complete.
+    """
+    semaphore = asyncio.Semaphore(CONCURRENT_REQUESTS)
+
+    async def send_request(number: int) -> None:
+        async with semaphore:
             mark = f"t{tokens}.{number}"
             work = Work(mark, customer.name, "letters", tokens, filler="x" * 200)
             answer = await ask(session, url, customer.key, work)
             if not answer.complete:
                 raise RuntimeError(f"{mark}: {answer}")
 
-    await asyncio.gather(*(one(number) for number in range(REQUESTS)))
+    await asyncio.gather(*(send_request(number) for number in range(REQUESTS)))
+
 
+async def _measure_idle(folder: Path, instances: int) -> Mapping[str, float]:
+    """Return control rates and memory of the instances of an idle fleet.
 
-async def _idle_costs(folder: Path, instances: int) -> Mapping[str, float]:
-    """Return control and memory of nodes and hubs among so many, all idle."""
+    Keys with ``hub`` are means over the hubs, those with ``node`` over all other
+    instances.
+    """
     shape = Shape("slopes", ("a", "b"), instances, 1, 2, 1, has_hubs=True)
     customer = Customer("one", "all", 1.0, ())
     async with Fleet(shape, folder) as fleet:
@@ -128,34 +136,34 @@
         await wait_for_targets(fleet)
         await asyncio.sleep(1.0)
         async with ClientSession() as session:
-            first = await _control(session, fleet)
+            first = await _read_control(session, fleet)
             await asyncio.sleep(IDLE_SECONDS)
-            last = await _control(session, fleet)
+            last = await _read_control(session, fleet)
         resident = [
             psutil.Process(member.pid).memory_info().rss / 1e6
             for member in fleet.instances.values()
         ]
         await fleet.stop_all()
     hubs = list(last)[: len(shape.data_centres)]
-    nodes = list(last)[len(shape.data_centres) :]
+    others = list(last)[len(shape.data_centres) :]
     rates = {
         name: [(new - old) / (last[name][0] - first[name][0]) for old, new in pairs]
         for name in last
         if (pairs := list(zip(first[name][1:], last[name][1:], strict=True)))
     }
     return {
-        "node_sent_bytes_per_second": _mean(rates[name][0] for name in nodes),
-        "node_cpu_fraction": _mean(rates[name][1] for name in nodes),
+        "node_sent_bytes_per_second": _mean(rates[name][0] for name in others),
+        "node_cpu_fraction": _mean(rates[name][1] for name in others),
         "hub_sent_bytes_per_second": _mean(rates[name][0] for name in hubs),
         "hub_cpu_fraction": _mean(rates[name][1] for name in hubs),
         "resident_mb": _mean(resident),
     }
 
 
-async def _control(
+async def _read_control(
     session: ClientSession, fleet: Fleet
 ) -> Mapping[str, tuple[float, float, float]]:
-    """Return time, bytes sent and processor seconds of control by instance."""
+    """Return the time, control bytes sent and control CPU seconds by instance."""
     readings = {}
     for member in fleet.instances.values():
         metrics = await read_metrics(session, member.url)
@@ -167,12 +175,12 @@
 
 
 def _mean(values: Iterable[float]) -> float:
-    """Return the mean."""
+    """Return the arithmetic mean as a plain float."""
     return float(numpy.mean(list(values)))
 
 
 def _libraries_mb() -> float:
-    """Return the resident memory of a process that only imports the libraries."""
+    """Return the resident megabytes of a process that only imports the libraries."""
     program = (
         f"import {_LIBRARIES}, psutil; print(psutil.Process().memory_info().rss / 1e6)"
     )
@@ -183,32 +191,35 @@
 
 
 def measure() -> dict[str, Any]:
-    """Return all slopes of this module."""
+    """Run all measurements and return their figures and slopes."""
     with TemporaryDirectory(prefix="sesameford-slopes-") as name:
         folder = Path(name)
-        relay = asyncio.run(_relay_costs(folder / "relay"))
+        relay = asyncio.run(_measure_relay(folder / "relay"))
         idle = [
-            asyncio.run(_idle_costs(folder / f"idle{count}", count))
-            for count in INSTANCES
+            asyncio.run(_measure_idle(folder / f"idle{count}", count))
+            for count in INSTANCE_COUNTS
         ]
-    slopes = {name: _line(INSTANCES, [row[name] for row in idle]) for name in idle[0]}
+    slopes = {
+        name: _fit_line(INSTANCE_COUNTS, [row[name] for row in idle])
+        for name in idle[0]
+    }
     return {
         "relay": dict(relay),
-        "instances": list(INSTANCES),
+        "instances": list(INSTANCE_COUNTS),
         "idle": [dict(row) for row in idle],
         "idle_slopes": slopes,
         "libraries_mb": _libraries_mb(),
     }
 
 
-def _line(sizes: Sequence[int], values: Sequence[float]) -> dict[str, float]:
-    """Return the straight line through measured values."""
+def _fit_line(sizes: Sequence[int], values: Sequence[float]) -> dict[str, float]:
+    """Return the least-squares line through measured values."""
     slope, offset = numpy.polyfit(sizes, values, 1)
     return {"per_instance": float(slope), "fixed": float(offset)}
 
 
 def main() -> int:
-    """Print the figures."""
+    """Run the measurements and print the figures."""
     parser = ArgumentParser(description="Measure the slopes of a router.")
     parser.add_argument("--output", choices=["table", "json"], default="table")
     options = parser.parse_args()
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,7 +1,8 @@
-"""``make slopes``: the slopes of all roles at three or more sizes, in 3 minutes.
+"""``make slopes``: measures the slopes of all roles at three or more sizes.
 
-Each module prints JSON for itself; here they run one after the other, so that none
-disturbs another, and their figures go to one file for ``tools/capacity.py``.
+Each measuring module prints JSON. They run one after the other, so that none disturbs
+another, and their figures are written to one file for ``tools/capacity.py``. A run
+takes about 3 minutes.
 """
 
 import json
@@ -22,16 +23,23 @@
     "fairness": ("benchmarks.fairness_slopes",),
     "log": ("benchmarks.log_bench", "--parts", "slopes"),
 }
-RESULT = ROOT / "results" / "slopes.json"
+RESULT_FILE = ROOT / "results" / "slopes.json"
 _TIMEOUT_SECONDS = 100.0
 
 console = Console(width=110)
 
 
 def run_module(arguments: Sequence[str]) -> Any:
-    """Return what a module's measurement printed, all of it or its last line."""
+    """Run a measuring module and return the JSON that it prints.
+
+    The JSON is the whole output, or its last line if the output does not start with
+    an object in several lines.
+
+    Args:
+        arguments: Name of the module and its arguments.
+    """
     command = [sys.executable, "-m", *arguments]
-    done = subprocess.run(
+    completed = subprocess.run(
         command,
         cwd=ROOT,
         stdout=subprocess.PIPE,
@@ -39,12 +47,12 @@
         timeout=_TIMEOUT_SECONDS,
         check=True,
     )
-    printed = done.stdout.strip()
-    return json.loads(printed if printed.startswith("{\n") else printed.split("\n")[-1])
+    output = completed.stdout.strip()
+    return json.loads(output if output.startswith("{\n") else output.split("\n")[-1])
 
 
-def _rows(name: str, value: Any) -> Mapping[str, str]:
-    """Return the figures of a module by their path."""
+def _flatten(name: str, value: Any) -> Mapping[str, str]:
+    """Return the figures of a nested value as text by their dotted path."""
     if isinstance(value, Mapping):
         items = value.items()
     elif isinstance(value, list):
@@ -54,7 +62,7 @@
         return {name: shown}
     rows: dict[str, str] = {}
     for key, inner in items:
-        rows.update(_rows(f"{name}.{key}", inner))
+        rows.update(_flatten(f"{name}.{key}", inner))
     return rows
 
 
@@ -62,17 +70,17 @@
     """Run all measurements, print the table and write the file."""
     figures: dict[str, Any] = {}
     for name, arguments in MODULES.items():
-        begin = time.monotonic()
+        started_at = time.monotonic()
         figures[name] = run_module(arguments)
-        console.print(f"{name}: measured in {time.monotonic() - begin:.0f} s")
+        console.print(f"{name}: measured in {time.monotonic() - started_at:.0f} s")
     table = Table("figure", "value")
     for name, value in figures.items():
-        for path, shown in _rows(name, value).items():
+        for path, shown in _flatten(name, value).items():
             table.add_row(path, shown)
     console.print(table)
-    RESULT.parent.mkdir(exist_ok=True)
-    RESULT.write_text(json.dumps(figures, indent=1) + "\n", encoding="utf-8")
-    console.print(f"Written to {RESULT.relative_to(ROOT)}")
+    RESULT_FILE.parent.mkdir(exist_ok=True)
+    RESULT_FILE.write_text(json.dumps(figures, indent=1) + "\n", encoding="utf-8")
+    console.print(f"Written to {RESULT_FILE.relative_to(ROOT)}")
     return 0
 
 
