--- a/benchmarks/spread_bench.py
+++ b/benchmarks/spread_bench.py
@@ -1,9 +1,9 @@
-"""Measures how long a change takes to be in force on every one of 8 real daemons.
+"""Measures the delay until a tree change is in force on every one of 8 real daemons.
 
-Changes follow one another at a steady pace, each sent to the next instance; half
-way through, the log's leader is killed, and started again a little later. A change
-counts from when it was first sent until the slowest live daemon logged that it, or
-a later one, is in force. Run with ``python -m benchmarks.spread_bench``.
+Changes are sent at a fixed interval, each to the next instance. Half way through, the
+leader of the log is killed and restarted after `DOWN_SECONDS`. The delay of a change
+is the time from its first sending until the slowest live daemon logs that this or a
+later revision is in force. Run with ``python -m benchmarks.spread_bench``.
 """
 
 import asyncio
@@ -29,91 +29,109 @@
 SHAPE = Shape("spread", ("a", "b", "c"), 8, 3, 0, 0, one_way_seconds=0.0012)
 DOWN_SECONDS = 3.0
 SETTLE_SECONDS = 5.0
-# A tree of 22,000 customers alone takes a second or so to read.
-TRY_TIMEOUT_SECONDS = 5.0
-GIVE_UP_SECONDS = 30.0
-BOUNDS = (0.5, 0.99, 1.0)
+# A daemon takes about a second to parse a tree of 22,000 customers.
+ATTEMPT_TIMEOUT_SECONDS = 5.0
+CHANGE_TIMEOUT_SECONDS = 30.0
+QUANTILES = (0.5, 0.99, 1.0)
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
-    """An accepted change: when it was first sent and when its answer came."""
+class AcceptedChange:
+    """An accepted change, with the Unix times of its first sending and its answer."""
 
     revision: int
     sent_at: float
     answered_at: float
-    tries: int
+    attempts: int
 
 
 @dataclass(slots=True)
 class Run:
-    """What happened in one run."""
+    """The changes of one run, and the kill of the leader if there was one.
 
-    changes: list[Change] = field(default_factory=list)
+    ``killed`` is the id of the killed instance; times are Unix times.
+    """
+
+    changes: list[AcceptedChange] = field(default_factory=list)
     killed: str = ""
     killed_at: float = 0.0
     back_at: float = 0.0
 
 
-def declared(number: int, customers: int) -> str:
-    """Return the tree of a change; all differ in one customer's share."""
+def make_change_text(number: int, customers: int) -> str:
+    """Return the tree of a change; the changes differ in one customer's share."""
     return make_text(customers) + f"    other:\n      share: {number + 1}\n"
 
 
-async def change(
+async def send_change(
     fleet: Fleet,
     session: ClientSession,
     number: int,
     base_revision: int,
     customers: int,
-) -> Change:
-    """Send a change until it is answered, each time to another instance."""
+) -> AcceptedChange:
+    """Send a change until it is accepted, each time to another instance.
+
+    Args:
+        fleet: The running fleet.
+        session: Client session with the operator's key.
+        number: Number of the change, which is part of its id.
+        base_revision: The revision that the change builds on.
+        customers: Number of customers in the tree.
+
+    Raises:
+        SystemExit: The change was rejected, or not accepted in time.
+    """
     body = {
         "change_id": f"change-{number}",
         "base_revision": base_revision,
-        "declared": declared(number, customers),
+        "declared": make_change_text(number, customers),
     }
     members = list(fleet.instances.values())
     sent_at = time()
-    tries = 0
-    while time() - sent_at < GIVE_UP_SECONDS:
-        member = members[(number + tries) % len(members)]
-        tries += 1
+    attempts = 0
+    while time() - sent_at < CHANGE_TIMEOUT_SECONDS:
+        member = members[(number + attempts) % len(members)]
+        attempts += 1
         try:
             async with session.post(
                 f"{member.operators_url}/tree/changes", json=body
             ) as response:
                 answer = await response.json(content_type=None)
                 if response.status == 200:
-                    return Change(answer["revision"], sent_at, time(), tries)
+                    return AcceptedChange(answer["revision"], sent_at, time(), attempts)
                 if response.status != 503:
                     raise SystemExit(f"change {number}: {response.status} {answer}")
         except (ClientError, TimeoutError, OSError):
             await asyncio.sleep(0.02)
-    raise SystemExit(f"change {number} had no answer in {GIVE_UP_SECONDS:g} s")
+    raise SystemExit(f"change {number} had no answer in {CHANGE_TIMEOUT_SECONDS:g} s")
 
 
 async def find_leader(fleet: Fleet, session: ClientSession) -> Member:
-    """Return the member that leads the log."""
+    """Return the instance that is the leader of the log.
+
+    Raises:
+        SystemExit: No instance reports a leader.
+    """
     for member in fleet.instances.values():
         async with session.get(f"{member.operators_url}/status") as response:
             status: Mapping[str, Any] = await response.json()
         if status["log"]["leader_id"]:
             return fleet.instances[status["log"]["leader_id"]]
-    raise SystemExit("no instance knows of a leader")
+    raise SystemExit("no instance reports a leader")
 
 
-async def drive(
-    fleet: Fleet, count: int, pace_seconds: float, kill: bool, customers: int
+async def run_changes(
+    fleet: Fleet, count: int, interval_seconds: float, kill: bool, customers: int
 ) -> Run:
-    """Send the changes and kill the leader half way."""
+    """Send the changes, and with ``kill`` kill and restart the leader half way."""
     run = Run()
     headers = {"Authorization": f"Bearer {fleet.keys.operator}"}
-    timeout = ClientTimeout(total=TRY_TIMEOUT_SECONDS)
+    timeout = ClientTimeout(total=ATTEMPT_TIMEOUT_SECONDS)
     async with ClientSession(headers=headers, timeout=timeout) as session:
         await fleet.wait_up()
         restart: asyncio.Task[None] | None = None
-        first = await change(fleet, session, 0, 0, customers)
+        first = await send_change(fleet, session, 0, 0, customers)
         revision = first.revision
         await fleet.wait_ready()
         for number in range(1, count + 1):
@@ -122,11 +140,11 @@
                 run.killed, run.killed_at = leader.member_id, time()
                 restart = asyncio.create_task(fleet.restart_empty(leader, DOWN_SECONDS))
                 await asyncio.sleep(0)
-            begin = monotonic()
-            made = await change(fleet, session, number, revision, customers)
-            revision = made.revision
-            run.changes.append(made)
-            await asyncio.sleep(max(0.0, pace_seconds - (monotonic() - begin)))
+            started_at = monotonic()
+            accepted = await send_change(fleet, session, number, revision, customers)
+            revision = accepted.revision
+            run.changes.append(accepted)
+            await asyncio.sleep(max(0.0, interval_seconds - (monotonic() - started_at)))
         if restart is not None:
             await restart
         await fleet.wait_ready()
@@ -135,8 +153,8 @@
     return run
 
 
-def in_force_times(log_file: Path) -> tuple[list[int], list[float]]:
-    """Return the revisions that came into force, ascending, and when."""
+def read_in_force_times(log_file: Path) -> tuple[list[int], list[float]]:
+    """Return the revisions that came into force, ascending, and their Unix times."""
     revisions: list[int] = []
     times: list[float] = []
     for line in log_file.read_text(encoding="utf-8").splitlines():
@@ -151,54 +169,61 @@
     return revisions, times
 
 
-def delays(fleet: Fleet, run: Run) -> dict[str, list[float]]:
-    """Return the delays of all changes: until answered, and until in force."""
+def change_delays(fleet: Fleet, run: Run) -> dict[str, list[float]]:
+    """Return the seconds of each change until its answer and until it is in force.
+
+    Raises:
+        SystemExit: A daemon never reached the revision of a change.
+    """
     logs = {
-        name: in_force_times(member.log_file)
+        name: read_in_force_times(member.log_file)
         for name, member in fleet.instances.items()
     }
-    found: dict[str, list[float]] = {"answered": [], "in force on all": []}
-    for made in run.changes:
+    delays: dict[str, list[float]] = {"answered": [], "in force on all": []}
+    for accepted in run.changes:
         slowest = 0.0
         for name, (revisions, times) in logs.items():
-            position = bisect_left(revisions, made.revision)
+            position = bisect_left(revisions, accepted.revision)
             if position == len(revisions):
-                raise SystemExit(f"{name} never had revision {made.revision}")
-            # The killed one was not live; that it came to the newest revision
-            # after its restart has just been checked.
-            if name != run.killed or made.answered_at < run.killed_at:
+                raise SystemExit(f"{name} never had revision {accepted.revision}")
+            # The killed instance is left out, since it was not live. The check above
+            # shows that it reached this revision after its restart.
+            if name != run.killed or accepted.answered_at < run.killed_at:
                 slowest = max(slowest, times[position])
-        found["answered"].append(made.answered_at - made.sent_at)
-        found["in force on all"].append(slowest - made.sent_at)
-    return found
+        delays["answered"].append(accepted.answered_at - accepted.sent_at)
+        delays["in force on all"].append(slowest - accepted.sent_at)
+    return delays
 
 
 def quantiles(values: Sequence[float]) -> list[float]:
-    """Return p50, p99 and the maximum, in milliseconds."""
+    """Return p50, p99 and the maximum of seconds, in milliseconds."""
     ordered = sorted(values)
     last = len(ordered) - 1
-    return [1000 * ordered[round(bound * last)] for bound in BOUNDS]
+    return [1000 * ordered[round(quantile * last)] for quantile in QUANTILES]
 
 
 async def measure(
-    count: int, pace_seconds: float, kill: bool, customers: int
+    count: int, interval_seconds: float, kill: bool, customers: int
 ) -> dict[str, Any]:
-    """Run once and return the figures."""
+    """Run once and return the figures by name."""
     with TemporaryDirectory() as folder:
         async with Fleet(SHAPE, Path(folder)) as fleet:
-            run = await drive(fleet, count, pace_seconds, kill, customers)
-            found = delays(fleet, run)
+            run = await run_changes(fleet, count, interval_seconds, kill, customers)
+            delays = change_delays(fleet, run)
     return {
         "customers": customers,
         "changes": len(run.changes),
         "killed": run.killed,
-        "sent more than once": sum(one.tries > 1 for one in run.changes),
-        **{f"{name} p50/p99/max ms": quantiles(one) for name, one in found.items()},
+        "sent more than once": sum(change.attempts > 1 for change in run.changes),
+        **{
+            f"{name} p50/p99/max ms": quantiles(seconds)
+            for name, seconds in delays.items()
+        },
     }
 
 
 def main() -> int:
-    """Print the figures of a run without and of one with a killed leader."""
+    """Print the figures of one run without and one run with a killed leader."""
     parser = ArgumentParser(description="Measure the spread of changes.")
     parser.add_argument("--changes", type=int, default=500)
     parser.add_argument("--pace-seconds", type=float, default=0.04)
@@ -213,7 +238,7 @@
         for name, value in figures.items():
             shown = value
             if isinstance(value, list):
-                shown = " / ".join(f"{one:.0f}" for one in value)
+                shown = " / ".join(f"{figure:.0f}" for figure in value)
             print(f"{name}: {shown}")
         print()
     return 0
--- a/benchmarks/tree_bench.py
+++ b/benchmarks/tree_bench.py
@@ -1,6 +1,6 @@
-"""Measures the settings tree at three sizes: time, longest slice, memory, bytes.
+"""Measures time, longest slice, memory and bytes of the settings tree at three sizes.
 
-Run with ``python -m benchmarks.tree_bench``; ``--output json`` for the slopes.
+Run with ``python -m benchmarks.tree_bench``; ``--output json`` prints one line.
 """
 
 import gc
@@ -24,19 +24,24 @@
 from sesameford.tree_replication import TreeReplication
 from sesameford.tree_text import render_tree
 
-SIZES = (16, 2_200, 22_000)
-CUSTOMERS_A_BRANCH = 100
+CUSTOMER_COUNTS = (16, 2_200, 22_000)
+CUSTOMERS_PER_BRANCH = 100
 CHANGES = 50
 PEER = InstanceRow("e2", 1, "a", InstanceState.READY, 0, 0.0)
 
 
 def make_text(customers: int, share: int = 1) -> str:
-    """Return a tree of customers in branches, a fifth of them with a share."""
+    """Return the text of a tree; a fifth of the customers has a share of its own.
+
+    Args:
+        customers: Number of customers.
+        share: The share that the other customers inherit.
+    """
     lines = ["fleet: {scheduler: leased}", "customers:", f"  share: {share}"]
     lines += ["  limits: {queued_requests: 100}", "  children:"]
     for number in range(customers):
-        branch, place = divmod(number, CUSTOMERS_A_BRANCH)
-        if place == 0:
+        branch, position = divmod(number, CUSTOMERS_PER_BRANCH)
+        if position == 0:
             lines += [f"    branch-{branch:03d}:", "      children:"]
         digest = sha256(str(number).encode()).hexdigest()
         lines.append(f"        customer-{number:05d}:")
@@ -46,53 +51,53 @@
     return "\n".join(lines) + "\n"
 
 
-def longest_slice(work: Iterable[object]) -> tuple[float, float]:
-    """Return the whole and the longest uninterrupted time of sliced work."""
-    begin = last = perf_counter()
+def time_slices(work: Iterable[object]) -> tuple[float, float]:
+    """Return the total seconds of sliced work and the seconds of its longest slice."""
+    started_at = last = perf_counter()
     longest = 0.0
     for _ in work:
         now = perf_counter()
         longest, last = max(longest, now - last), now
     end = perf_counter()
-    return end - begin, max(longest, end - last)
+    return end - started_at, max(longest, end - last)
 
 
-def slices_of(spread: TreeReplication) -> Iterable[None]:
-    """Bring settings into force, a slice at a time."""
-    while not spread.in_force.is_current:
-        spread.in_force.recompute_slice()
+def recompute_in_slices(replication: TreeReplication) -> Iterable[None]:
+    """Recompute the settings in force until they are current, one slice per item."""
+    while not replication.in_force.is_current:
+        replication.in_force.recompute_slice()
         yield
 
 
 class Bench:
-    """One size of tree on a replica that is also a router."""
+    """The measurements of one tree size on a replica that is also a router."""
 
     def __init__(self, customers: int) -> None:
         self.customers = customers
         self.figures: dict[str, float] = {"customers": customers}
-        self.spread = TreeReplication("e1", "a", 1, 0.0)
-        self.machine = TreeMachine(self._committed)
+        self.replication = TreeReplication("e1", "a", 1, 0.0)
+        self.machine = TreeMachine(self._handle_commit)
         self.sent: list[Message] = []
         self.number = 0
 
-    def _committed(self, machine: TreeMachine) -> None:
-        outgoing = self.spread.handle_commit(machine.store, True, {"e2": PEER})
-        self.sent = [one.message for one in outgoing]
+    def _handle_commit(self, machine: TreeMachine) -> None:
+        outgoing = self.replication.handle_commit(machine.store, True, {"e2": PEER})
+        self.sent = [item.message for item in outgoing]
 
-    def note(self, name: str, value: float) -> None:
-        """Keep a figure."""
+    def record(self, name: str, value: float) -> None:
+        """Record a figure."""
         self.figures[name] = value
 
-    def timed(self, name: str, work: Callable[[], object]) -> None:
-        """Keep how long something takes in one go, in milliseconds."""
-        begin = perf_counter()
+    def record_duration(self, name: str, work: Callable[[], object]) -> None:
+        """Run some work and record its duration in milliseconds."""
+        started_at = perf_counter()
         work()
-        self.note(name, 1000 * (perf_counter() - begin))
+        self.record(name, 1000 * (perf_counter() - started_at))
 
-    def command(self, tree: DeclaredTree) -> TreeChange:
-        """Return the change that declares a tree."""
+    def make_change(self, tree: DeclaredTree) -> TreeChange:
+        """Return the change from the present tree to another one."""
         self.number += 1
-        store = self.spread.store
+        store = self.replication.store
         return make_tree_change(
             store,
             difference(store.declared, tree),
@@ -103,75 +108,81 @@
         )
 
     def apply(self, tree: DeclaredTree) -> int:
-        """Take a tree through the machine and the spread; return command bytes."""
-        command = encode_change(self.command(tree))
+        """Apply a tree through state machine and replication.
+
+        Returns:
+            The size of the log command in bytes.
+        """
+        command = encode_change(self.make_change(tree))
         self.machine.apply(self.number, command)
         return len(command)
 
     def run(self) -> dict[str, float]:
-        """Measure everything."""
+        """Run all measurements and return the figures by name."""
         text = make_text(self.customers)
-        whole, longest = longest_slice(parse_tree_in_slices(text, "bench"))
-        self.note("parse_ms", 1000 * whole)
-        self.note("parse_longest_slice_ms", 1000 * longest)
+        total, longest = time_slices(parse_tree_in_slices(text, "bench"))
+        self.record("parse_ms", 1000 * total)
+        self.record("parse_longest_slice_ms", 1000 * longest)
         tree = parse_tree(text, "bench")
-        self.timed("first_apply_ms", lambda: self.apply(tree))
-        whole, longest = longest_slice(slices_of(self.spread))
-        self.note("all_settings_ms", 1000 * whole)
-        self.note("all_settings_longest_slice_ms", 1000 * longest)
-        self._one_customer(text)
-        self._all_customers()
-        self._other_costs(tree)
+        self.record_duration("first_apply_ms", lambda: self.apply(tree))
+        total, longest = time_slices(recompute_in_slices(self.replication))
+        self.record("all_settings_ms", 1000 * total)
+        self.record("all_settings_longest_slice_ms", 1000 * longest)
+        self._measure_one_customer(text)
+        self._measure_all_customers()
+        self._measure_other_costs(tree)
         return self.figures
 
-    def _one_customer(self, text: str) -> None:
-        """Change one customer again and again."""
-        took: dict[str, list[float]] = {"entry": [], "replica": [], "in_force": []}
+    def _measure_one_customer(self, text: str) -> None:
+        """Change one customer repeatedly and record the median times."""
+        durations: dict[str, list[float]] = {"entry": [], "replica": [], "in_force": []}
         command_bytes = 0
         for number in range(CHANGES):
-            wanted = parse_or_edit(self.spread, number)
-            begin = perf_counter()
-            command = encode_change(self.command(wanted))
-            compared = perf_counter()
+            changed_tree = make_changed_tree(self.replication, number)
+            started_at = perf_counter()
+            command = encode_change(self.make_change(changed_tree))
+            encoded_at = perf_counter()
             self.machine.apply(self.number, command)
-            applied = perf_counter()
-            while not self.spread.in_force.is_current:
-                self.spread.in_force.recompute_slice()
-            took["entry"].append(compared - begin)
-            took["replica"].append(applied - compared)
-            took["in_force"].append(perf_counter() - applied)
+            applied_at = perf_counter()
+            while not self.replication.in_force.is_current:
+                self.replication.in_force.recompute_slice()
+            durations["entry"].append(encoded_at - started_at)
+            durations["replica"].append(applied_at - encoded_at)
+            durations["in_force"].append(perf_counter() - applied_at)
             command_bytes = len(command)
-        for name, times in took.items():
+        for name, times in durations.items():
             times.sort()
-            self.note(f"one_change_{name}_ms", 1000 * times[len(times) // 2])
-        self.note("one_change_command_bytes", command_bytes)
-        self.note("one_change_message_bytes", envelope_bytes(self.sent))
+            self.record(f"one_change_{name}_ms", 1000 * times[len(times) // 2])
+        self.record("one_change_command_bytes", command_bytes)
+        self.record("one_change_message_bytes", envelope_bytes(self.sent))
 
-    def _all_customers(self) -> None:
-        """Change what all customers inherit."""
+    def _measure_all_customers(self) -> None:
+        """Change a share that all customers inherit and record the recomputation."""
         self.apply(parse_tree(make_text(self.customers, share=2), "bench"))
-        whole, longest = longest_slice(slices_of(self.spread))
-        self.note("root_change_ms", 1000 * whole)
-        self.note("root_change_longest_slice_ms", 1000 * longest)
-
-    def _other_costs(self, tree: DeclaredTree) -> None:
-        """Measure a whole tree sent and taken, its text, a snapshot, memory."""
-        answer = self.spread.handle_message("e2", TreeRequest(0, whole=True), {}, 0.0)
+        total, longest = time_slices(recompute_in_slices(self.replication))
+        self.record("root_change_ms", 1000 * total)
+        self.record("root_change_longest_slice_ms", 1000 * longest)
+
+    def _measure_other_costs(self, tree: DeclaredTree) -> None:
+        """Record the costs of a tree snapshot message, of rendering and of memory."""
+        answer = self.replication.handle_message(
+            "e2", TreeRequest(0, whole=True), {}, 0.0
+        )
         message = answer[0].message
-        self.note("whole_message_bytes", envelope_bytes([message]))
-        other = TreeReplication("e2", "a", 1, 0.0)
-        self.timed(
-            "whole_taken_ms", lambda: other.handle_message("e1", message, {}, 0.0)
+        self.record("whole_message_bytes", envelope_bytes([message]))
+        receiver = TreeReplication("e2", "a", 1, 0.0)
+        self.record_duration(
+            "whole_taken_ms", lambda: receiver.handle_message("e1", message, {}, 0.0)
         )
-        self.timed("render_ms", lambda: render_tree(tree))
-        self.timed("snapshot_ms", self.machine.snapshot)
-        self.note("memory_router_mb", traced_mb(self.customers, replica=False))
-        self.note("memory_replica_mb", traced_mb(self.customers, replica=True))
+        self.record_duration("render_ms", lambda: render_tree(tree))
+        self.record_duration("snapshot_ms", self.machine.snapshot)
+        self.record("memory_router_mb", traced_mb(self.customers, replica=False))
+        self.record("memory_replica_mb", traced_mb(self.customers, replica=True))
 
 
-def parse_or_edit(spread: TreeReplication, number: int) -> DeclaredTree:
+def make_changed_tree(replication: TreeReplication, number: int) -> DeclaredTree:
     """Return the present tree with one customer's share changed."""
-    nodes = dict(spread.store.declared.nodes)
+    nodes = dict(replication.store.declared.nodes)
     path = "customers/branch-000/customer-00003"
     small = "customers: {children: {a: {share: %d, key_digests: [%s]}}}"
     digest = sha256(b"changed").hexdigest()
@@ -181,22 +192,27 @@
 
 
 def envelope_bytes(messages: Iterable[Message]) -> int:
-    """Return what messages take on the wire, with their envelope."""
+    """Return the encoded size of an envelope with some messages."""
     return len(encode_envelope(Envelope("e1", 1, 1, (0, 0), tuple(messages))))
 
 
 def traced_mb(customers: int, replica: bool) -> float:
-    """Return the memory that a tree in force takes, in megabytes."""
+    """Return the megabytes that a tree in force occupies, as `tracemalloc` counts.
+
+    Args:
+        customers: Number of customers.
+        replica: Whether to include the state machine of a replica.
+    """
     text = make_text(customers)
     gc.collect()
     start()
-    spread = TreeReplication("e1", "a", 1, 0.0)
+    replication = TreeReplication("e1", "a", 1, 0.0)
 
-    def committed(machine: TreeMachine) -> None:
-        spread.handle_commit(machine.store, True, {})
+    def handle_commit(machine: TreeMachine) -> None:
+        replication.handle_commit(machine.store, True, {})
 
-    machine = TreeMachine(committed)
-    store = spread.store
+    machine = TreeMachine(handle_commit)
+    store = replication.store
     tree = parse_tree(text, "bench")
     change = make_tree_change(
         store,
@@ -207,8 +223,8 @@
         at_seconds=0.0,
     )
     machine.apply(1, encode_change(change))
-    while not spread.in_force.is_current:
-        spread.in_force.recompute_slice()
+    while not replication.in_force.is_current:
+        replication.in_force.recompute_slice()
     if not replica:
         del machine
     del tree, change, store
@@ -223,11 +239,13 @@
     parser = ArgumentParser(description="Measure the settings tree.")
     parser.add_argument("--output", choices=["table", "json"], default="table")
     arguments = parser.parse_args()
-    rows = [Bench(size).run() for size in SIZES]
+    rows = [Bench(customers).run() for customers in CUSTOMER_COUNTS]
     if arguments.output == "json":
         print(json.dumps(rows))
         return 0
-    table = Table("figure", *(f"{size} customers" for size in SIZES))
+    table = Table(
+        "figure", *(f"{customers} customers" for customers in CUSTOMER_COUNTS)
+    )
     for name in rows[0]:
         table.add_row(
             name,
--- a/tools/replica_kills.py
+++ b/tools/replica_kills.py
@@ -20,7 +20,7 @@
 
 from aiohttp import ClientSession, ClientTimeout
 
-from benchmarks.spread_bench import SHAPE, change
+from benchmarks.spread_bench import SHAPE, send_change
 from tools.fleet import Fleet
 
 DOWN_SECONDS = 1.5
@@ -51,7 +51,7 @@
         The counts that are printed, by name.
     """
     await fleet.wait_up()
-    revision = (await change(fleet, session, 0, 0, CUSTOMERS)).revision
+    revision = (await send_change(fleet, session, 0, 0, CUSTOMERS)).revision
     await fleet.wait_ready()
     killing = asyncio.create_task(kill_in_turn(fleet))
     accepted = [revision]
@@ -59,8 +59,8 @@
     number = 0
     while not killing.done():
         number += 1
-        first = await change(fleet, session, number, revision, CUSTOMERS)
-        resent = await change(fleet, session, number, revision, CUSTOMERS)
+        first = await send_change(fleet, session, number, revision, CUSTOMERS)
+        resent = await send_change(fleet, session, number, revision, CUSTOMERS)
         different_answers += first.revision != resent.revision
         revision = first.revision
         accepted.append(revision)
