--- a/benchmarks/fairness_bench.py
+++ b/benchmarks/fairness_bench.py
@@ -137,7 +137,7 @@
         make_scheduler, routers, targets, tree, seed, network, UNITS_PER_SECOND
     )
     fleet.run(seconds, load.arrive)
-    warm = replace(fleet.counted, start_delays_seconds=[])
+    warm = replace(fleet.measurements, start_delays_seconds=[])
     phases: dict[str, float] = {}
     samples: list[float] = []
     starved: set[str] = set()
@@ -155,7 +155,7 @@
         )
         if phase != "cut-off":
             samples.extend(fleet.gaps.samples)
-    counted = fleet.counted
+    counted = fleet.measurements
     router_seconds = seconds * len(PHASES) * ROUTERS
     busy = counted.busy_slot_seconds - warm.busy_slot_seconds
     offered = counted.backlogged_slot_seconds - warm.backlogged_slot_seconds
@@ -211,7 +211,7 @@
         cut_data_centre = max(deployment.engines)
         cut_routers = {
             name
-            for name, data_centre in fleet.places.items()
+            for name, data_centre in fleet.data_centres.items()
             if data_centre == cut_data_centre
         }
         fleet.network.cut = _is_across(cut_routers)
--- a/tests/callers_fixture.py
+++ b/tests/callers_fixture.py
@@ -90,7 +90,7 @@
         url = str(self.targets.make_url("")).rstrip("/")
         announcement = TargetAnnouncement(name, 1, 1, kind, (name,), url, "a", 8, 60.0)
         replication = make_target_replication(self.router.registry, "e1", 1, False)
-        replication.announced(announcement, monotonic())
+        replication.handle_announcement(announcement, monotonic())
         self.router.tick()
 
     async def close(self) -> None:
--- a/tests/test_bounded_log.py
+++ b/tests/test_bounded_log.py
@@ -1,4 +1,4 @@
-"""Log lines under load, with a reader that stands still."""
+"""Log lines under load, with a reader that blocks or is gone."""
 
 import logging
 import os
@@ -7,10 +7,10 @@
 import pytest
 
 from sesameford.bounded_log import (
-    FAILURE_LINES_A_SECOND,
-    INFO_LINES_A_SECOND,
-    MOST_PENDING_BYTES,
-    STATE_LINES_A_SECOND,
+    FAILURE_LINES_PER_SECOND,
+    INFO_LINES_PER_SECOND,
+    MAX_PENDING_BYTES,
+    STATE_LINES_PER_SECOND,
     BoundedHandler,
 )
 
@@ -26,7 +26,7 @@
 
 
 class Clock:
-    """A time that tests set."""
+    """A clock that tests set."""
 
     seconds = 0.0
 
@@ -49,7 +49,7 @@
 
 
 def drain(handler, reader):
-    """Read until nothing waits any more, and return the lines."""
+    """Read until the buffer is empty, and return the lines."""
     text = read_all(reader)
     while handler._pending:
         handler.flush()
@@ -57,10 +57,10 @@
     return text.splitlines()
 
 
-def test_a_reader_that_stands_still_holds_nothing_up(pipe):
-    """The process that collects the logs hangs while requests come in.
+def test_a_reader_that_blocks_does_not_block_the_handler(pipe):
+    """The process that collects the logs hangs while requests arrive.
 
-    Waiting for it, the router would pass no token on any more.
+    A router that waited for it would relay no tokens any more.
     """
     reader, writer = pipe
     clock = Clock()
@@ -70,7 +70,7 @@
         clock.seconds = number / 200
         handler.emit(record(logging.WARNING))
     assert monotonic() - started < 5.0
-    assert len(handler._pending) <= MOST_PENDING_BYTES
+    assert len(handler._pending) <= MAX_PENDING_BYTES
     drain(handler, reader)
     clock.seconds += 1
     handler.emit(record(logging.WARNING, "last"))
@@ -79,22 +79,22 @@
     assert any("lines left out" in line for line in seen)
 
 
-def test_lines_of_failures_are_the_last_to_be_left_out(pipe):
-    """A flood of requests that went well must not push out the one that failed."""
+def test_lines_of_failures_have_a_limit_of_their_own(pipe):
+    """A burst of successful requests must not displace the line of a failed one."""
     reader, writer = pipe
     clock = Clock()
     handler = BoundedHandler(writer, clock)
-    for _ in range(2 * INFO_LINES_A_SECOND):
+    for _ in range(2 * INFO_LINES_PER_SECOND):
         handler.emit(record(logging.INFO, "well"))
-    for _ in range(2 * FAILURE_LINES_A_SECOND):
+    for _ in range(2 * FAILURE_LINES_PER_SECOND):
         handler.emit(record(logging.WARNING, "failed"))
     clock.seconds = 1.0
     handler.emit(record(logging.INFO, "next"))
     seen = drain(handler, reader)
-    assert seen.count("well") == INFO_LINES_A_SECOND
-    assert seen.count("failed") == FAILURE_LINES_A_SECOND
-    left_out = INFO_LINES_A_SECOND + FAILURE_LINES_A_SECOND
-    assert f'{{"message": "lines left out", "count": {left_out}}}' in seen
+    assert seen.count("well") == INFO_LINES_PER_SECOND
+    assert seen.count("failed") == FAILURE_LINES_PER_SECOND
+    dropped_lines = INFO_LINES_PER_SECOND + FAILURE_LINES_PER_SECOND
+    assert f'{{"message": "lines left out", "count": {dropped_lines}}}' in seen
 
 
 def test_a_reader_that_is_gone_is_no_error():
@@ -106,17 +106,17 @@
     os.close(writer)
 
 
-def test_a_flood_of_requests_leaves_room_for_what_the_process_believes(pipe):
-    """One customer floods a router, and all lines of a second tell of its requests.
+def test_lines_about_state_have_a_limit_of_their_own(pipe):
+    """One customer overloads a router, and its requests fill the lines of a second.
 
-    Whose share was how much would not be written just when somebody asks for it.
+    The lines about shares would be missing just when an operator needs them.
     """
     reader, writer = pipe
     handler = BoundedHandler(writer, Clock(), "calls")
-    for _ in range(2 * FAILURE_LINES_A_SECOND):
+    for _ in range(2 * FAILURE_LINES_PER_SECOND):
         handler.emit(record(logging.WARNING, "failed", "calls"))
-    for _ in range(2 * STATE_LINES_A_SECOND):
+    for _ in range(2 * STATE_LINES_PER_SECOND):
         handler.emit(record(logging.INFO, "believes", "shares"))
     seen = drain(handler, reader)
-    assert seen.count("failed") == FAILURE_LINES_A_SECOND
-    assert seen.count("believes") == STATE_LINES_A_SECOND
+    assert seen.count("failed") == FAILURE_LINES_PER_SECOND
+    assert seen.count("believes") == STATE_LINES_PER_SECOND
